--- a/src/control/calls.hpp
+++ b/src/control/calls.hpp
@@ -26,7 +26,6 @@
 /// Reads the head of a request from what has come so far.
 ControlRead read_control_call(std::string_view text);
 /// A whole answer that ends the connection; `type` is its body's media type.
-std::string control_answer(int status, std::string_view body,
-                           std::string_view type = "text/plain");
+std::string control_answer(int status, std::string_view body, std::string_view type = "text/plain");
 
 }  // namespace arrowfork
--- a/src/drill/settings.cpp
+++ b/src/drill/settings.cpp
@@ -36,9 +36,7 @@
   return value;
 }
 
-std::optional<ReportField> report_field_of(std::string_view name) {
-  return look_up(kField, name);
-}
+std::optional<ReportField> report_field_of(std::string_view name) { return look_up(kField, name); }
 
 namespace {
 
@@ -134,8 +132,8 @@
   auto positive = [&](const char* path, std::int64_t absent) {
     return in_range(read.integer(path, absent), 1, std::int64_t{1} << 50, path);
   };
-  l.streams = static_cast<int>(std::min<std::int64_t>(
-      positive("Limits.StreamsPerConn", l.streams), 1'000'000));
+  l.streams = static_cast<int>(
+      std::min<std::int64_t>(positive("Limits.StreamsPerConn", l.streams), 1'000'000));
   l.keepalive = positive("Limits.KeepaliveUs", l.keepalive);
   l.dial_timeout = positive("Limits.DialTimeoutUs", l.dial_timeout);
   l.max_open = positive("Limits.MaxOpen", l.max_open);
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -162,8 +162,8 @@
   if (name == "enlist") {
     std::int64_t seed = line.integer("RngSeed");
     try {
-      hosts_[who_] =
-          std::make_unique<Balancer>(settings_of(pairs_by_path(line)), static_cast<std::uint64_t>(seed), now_);
+      hosts_[who_] = std::make_unique<Balancer>(settings_of(pairs_by_path(line)),
+                                                static_cast<std::uint64_t>(seed), now_);
     } catch (const std::invalid_argument& e) {
       throw WireError(e.what());
     }
--- a/src/rig/discovery_server.cpp
+++ b/src/rig/discovery_server.cpp
@@ -3,7 +3,6 @@
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
 #include <event2/keyvalq_struct.h>
-
 #include <sys/socket.h>
 
 #include <algorithm>
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -34,7 +34,7 @@
   Micros begun, aim, deadline;
   int tries = 0;
   bool unsure = false;  // a try was on its way when its connection broke: it may have run
-  bool asked = false;  // before
+  bool asked = false;   // before
   Micros again_at = 0;  // a further try is due then; 0: one is out
 };
 
--- a/src/rig/storm_tills.hpp
+++ b/src/rig/storm_tills.hpp
@@ -42,9 +42,10 @@
   struct Ways {
     int routers = 0;
     std::function<std::uint16_t(int router)> port;  ///< 0: nobody listens there now
-    std::function<int(int drawn)> pick;             ///< the router of a try, or of a further one (-1); empty: the drawn
-    bool elsewhere = false;                         ///< a further try picks anew
-    bool marks_retry = false;                       ///< and says that it is one
+    std::function<int(int drawn)>
+        pick;                  ///< the router of a try, or of a further one (-1); empty: the drawn
+    bool elsewhere = false;    ///< a further try picks anew
+    bool marks_retry = false;  ///< and says that it is one
     Observer* observer = nullptr;
   };
   /// Counts go to `second()`, the second a first try belongs to. `slack`: what the machine may take
--- a/tests/recovery/company_test.cpp
+++ b/tests/recovery/company_test.cpp
@@ -45,20 +45,21 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All, Companies,
-    testing::Values(
-        Case{"two_routers_presume_nothing", 2, "", Verdict::Alone},
-        Case{"nothing_seen", 300, "", Verdict::Unknown},
-        Case{"one_sample_settles_nothing", 300, "1", Verdict::Unknown},
-        Case{"one_bad_sample_neither", 300, "!1", Verdict::Unknown},
-        Case{"two_bad_ones_do", 300, "!1!2", Verdict::Together},
-        Case{"eleven_answers", 300, "12345123451", Verdict::Unknown},
-        Case{"twelve_answers_of_many", 300, "123451234512", Verdict::Alone},
-        Case{"any_number_of_two_servers", 300, "1212121212121212", Verdict::Unknown},
-        Case{"with_discovery_a_third", 300, "12121212121d", Verdict::Alone},
-        Case{"one_refused_among_many", 300, "12345!6123451234512345123451234512345", Verdict::Alone},
-        Case{"two_in_five_refused", 300, "12!13!2", Verdict::Together},
-        Case{"trouble_that_ends_is_outlived", 300, "!1!2!3123451234512345123451234512345", Verdict::Alone},
-        Case{"too_late_to_tell", 300, "12345___________1234512345", Verdict::Unknown}),
+    testing::Values(Case{"two_routers_presume_nothing", 2, "", Verdict::Alone},
+                    Case{"nothing_seen", 300, "", Verdict::Unknown},
+                    Case{"one_sample_settles_nothing", 300, "1", Verdict::Unknown},
+                    Case{"one_bad_sample_neither", 300, "!1", Verdict::Unknown},
+                    Case{"two_bad_ones_do", 300, "!1!2", Verdict::Together},
+                    Case{"eleven_answers", 300, "12345123451", Verdict::Unknown},
+                    Case{"twelve_answers_of_many", 300, "123451234512", Verdict::Alone},
+                    Case{"any_number_of_two_servers", 300, "1212121212121212", Verdict::Unknown},
+                    Case{"with_discovery_a_third", 300, "12121212121d", Verdict::Alone},
+                    Case{"one_refused_among_many", 300, "12345!6123451234512345123451234512345",
+                         Verdict::Alone},
+                    Case{"two_in_five_refused", 300, "12!13!2", Verdict::Together},
+                    Case{"trouble_that_ends_is_outlived", 300,
+                         "!1!2!3123451234512345123451234512345", Verdict::Alone},
+                    Case{"too_late_to_tell", 300, "12345___________1234512345", Verdict::Unknown}),
     [](const auto& one) { return std::string(one.param.name); });
 
 TEST(Company, AListOfYoungServersSpeaksForAReturnOfAll) {
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -2,7 +2,7 @@
 # Installs what the build, the demo and the tests need from Debian's packages, where it is missing.
 # Without root it names what is missing and stops with status 1.
 set -eu
-packages="g++ cmake make pkg-config libevent-dev nlohmann-json3-dev libcli11-dev libgtest-dev
+packages="g++ clang-format cmake make pkg-config libevent-dev nlohmann-json3-dev libcli11-dev libgtest-dev
   libbenchmark-dev libmemcached-dev libnghttp2-dev libboost-dev
   libtomlplusplus-dev libxxhash-dev libprotobuf-dev protobuf-compiler libgrpc++-dev protobuf-compiler-grpc"
 # Where Node.js comes from elsewhere, its npm comes with it, and Debian's would not fit it.
