--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -52,8 +52,8 @@
     Router router(base.get(), config, clock);
     std::string error;
     if (!router.listen(error)) return complain("listen " + config.listen + ": " + error);
-    std::unique_ptr<Front> front = attach ? attach(base.get(), clock, router, config) : nullptr;
-    if (front) router.add_front(*front);
+    std::unique_ptr<Frontend> front = attach ? attach(base.get(), clock, router, config) : nullptr;
+    if (front) router.add_frontend(*front);
     if (config.ext_proc && !attach) complain("ext_proc: this program does not serve it");
     if (config.store && !attach) complain("store: this program keeps nothing");
     auto on_signal = [](evutil_socket_t, short, void* r) { static_cast<Router*>(r)->stop(); };
@@ -65,7 +65,7 @@
     ConfigReloader reloader(
         base.get(), clock, [&] { router.reload(within_limits(load())); },
         [&](const std::string& reason) {
-          router.note_failed_reload();
+          router.record_failed_reload();
           complain("reload: old configuration kept: " + reason);
         },
         {});
--- a/src/app/wheeldeal.cpp
+++ b/src/app/wheeldeal.cpp
@@ -37,9 +37,9 @@
   }
 }
 
-std::unique_ptr<arrowfork::Front> ext_proc(event_base* base, const arrowfork::TimeSource& clock,
-                                           arrowfork::Router& router,
-                                           const arrowfork::Config& config) {
+std::unique_ptr<arrowfork::Frontend> ext_proc(event_base* base, const arrowfork::TimeSource& clock,
+                                              arrowfork::Router& router,
+                                              const arrowfork::Config& config) {
   if (!config.ext_proc) return nullptr;
   auto server = std::make_unique<arrowfork::extproc::Server>(
       base, clock, router.core(), *config.ext_proc, router.report_fields(),
@@ -82,7 +82,7 @@
     };
     auto attach = [&](event_base* base, const arrowfork::TimeSource& clock,
                       arrowfork::Router& router, const arrowfork::Config& config) {
-      router.set_list_memory(keeping.get());
+      router.set_list_persistence(keeping.get());
       return ext_proc(base, clock, router, config);
     };
     status = arrowfork::serve(load, attach);
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -277,7 +277,7 @@
   }
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> Server::figures() const {
+std::vector<std::pair<std::string, std::uint64_t>> Server::counters() const {
   const Processor::Counts& p = processor_.counts();
   const grpc::ServerSession::Counts& s = session_counts_;
   std::vector<std::pair<std::string, std::uint64_t>> all = {
--- a/src/extproc/server.hpp
+++ b/src/extproc/server.hpp
@@ -9,12 +9,12 @@
 
 #include "../io/io.hpp"
 #include "../net/config.hpp"
-#include "../net/front.hpp"
+#include "../net/frontend.hpp"
 #include "processor.hpp"
 
 namespace arrowfork::extproc {
 
-class Server final : public Front, Processor::Output {
+class Server final : public Frontend, Processor::Output {
  public:
   /// Listens as `settings` say. Throws ConfigError naming the setting that can't be used, also
   /// where the address is taken. Base, clock, core and fields outlive it.
@@ -26,7 +26,7 @@
   void flush() override;
   void drain() override;
   bool drained() const override { return draining_ && connections_.empty(); }
-  std::vector<std::pair<std::string, std::uint64_t>> figures() const override;
+  std::vector<std::pair<std::string, std::uint64_t>> counters() const override;
   std::uint16_t port() const { return port_; }
   const Processor& processor() const { return processor_; }
   struct Counts {
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -327,10 +327,11 @@
   /// crosses our end.
   void part() {
     if (lingering_) return;
-    ClientSide::Given given =
-        side_.draining_ && side_.give_ ? side_.give_(fd_.get()) : ClientSide::Given::No;
-    if (given == ClientSide::Given::Yes) side_.close(*this);
-    if (given == ClientSide::Given::No && nothing_came()) finish();
+    ClientSide::HandOverResult given = side_.draining_ && side_.hand_over_
+                                           ? side_.hand_over_(fd_.get())
+                                           : ClientSide::HandOverResult::NotSent;
+    if (given == ClientSide::HandOverResult::Sent) side_.close(*this);
+    if (given == ClientSide::HandOverResult::NotSent && nothing_came()) finish();
   }
 
   /// Closes after the last answer.
@@ -519,13 +520,13 @@
   connections_.back()->asked_ = adopted;
 }
 
-void ClientSide::hold_back(bool on) {
+void ClientSide::suspend_accepting(bool on) {
   held_back_ = on;
   if (!accept_event_) return;
   on ? event_del(accept_event_.get()) : event_add(accept_event_.get(), nullptr);
 }
 
-void ClientSide::send_away(bool on) {
+void ClientSide::set_operator_drain(bool on) {
   if (on && !away_) away_since_ = clock_.now();
   away_ = on;
 }
@@ -586,7 +587,7 @@
   if (unread) side->look_for_ends();
 }
 
-void ClientSide::end() {
+void ClientSide::shut_down() {
   for (std::size_t k = connections_.size(); k-- > 0;)
     if (k < connections_.size()) connections_[k]->end();
 }
@@ -658,7 +659,7 @@
     for (auto& c : connections_) touch(*c);
   if (draining_ || !listener_) return;
   if (accept_paused_) event_add(accept_event_.get(), nullptr);
-  if (!give_) accept_some(4096);
+  if (!hand_over_) accept_some(4096);
   draining_ = true;
   accept_event_.reset();
   listener_.reset();
@@ -666,7 +667,7 @@
   for (std::size_t k = connections_.size(); k-- > 0;) {
     if (k >= connections_.size()) continue;
     ClientConnection& c = *connections_[k];
-    if (!give_ && c.reading_ && !c.eof_ && !c.lingering_) c.read();
+    if (!hand_over_ && c.reading_ && !c.eof_ && !c.lingering_) c.read();
     touch(c);
   }
 }
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -58,18 +58,18 @@
   void listen_on(Fd listener);
   int listener() const { return listener_.get(); }
   /// Accepts nobody while it is held back; the connections that wait stay in the backlog.
-  void hold_back(bool on);
+  void suspend_accepting(bool on);
   /// Takes over a connection that another process had, between two of its requests.
   void adopt(Fd client) { admit(std::move(client), true); }
   /// What drain() does with connections between requests instead of closing them: the function
   /// passes one on, and tells whether it did.
-  enum class Given { Yes, Later, No };
-  using Give = std::function<Given(int client)>;
-  void set_give(Give give) { give_ = std::move(give); }
+  enum class HandOverResult { Sent, RetryLater, NotSent };
+  using HandOver = std::function<HandOverResult(int client)>;
+  void set_hand_over(HandOver hand_over) { hand_over_ = std::move(hand_over); }
   /// Sends clients away: `mn` says no, and some time later, when the front knows, connections are
   /// closed between requests. Whoever comes all the same is served.
-  void send_away(bool on);
-  bool away() const { return away_; }
+  void set_operator_drain(bool on);
+  bool operator_drain() const { return away_; }
   /// The port that listen() got; for tests that ask for port 0.
   std::uint16_t port() const;
 
@@ -81,10 +81,10 @@
   /// connection as soon as it is between requests.
   void drain();
   /// The process's last step: what is written gets its way out before the sockets are closed.
-  void end();
+  void shut_down();
   std::size_t connections() const { return connections_.size(); }
   /// Large values on their way to clients.
-  std::size_t piping() const { return piping_; }
+  std::size_t streaming_values() const { return piping_; }
   struct Counts {
     std::uint64_t meta = 0, binary = 0;  ///< connections that have said which they speak
   };
@@ -125,7 +125,7 @@
   bool held_back_ = false;
   bool away_ = false;
   Micros away_since_ = 0;
-  Give give_;
+  HandOver hand_over_;
   std::vector<std::unique_ptr<ClientConnection>> connections_;
   std::vector<std::unique_ptr<ClientConnection>> closed_;  // freed at the end of an iteration
   std::vector<ClientConnection*> dirty_;
--- a/src/net/front.hpp
+++ b/src/net/frontend.hpp
@@ -9,9 +9,9 @@
 
 namespace arrowfork {
 
-class Front {
+class Frontend {
  public:
-  virtual ~Front() = default;
+  virtual ~Frontend() = default;
   /// Writes what the core's last turn has left. Called once an iteration of the loop.
   virtual void flush() = 0;
   /// Planned end: takes nothing new, finishes what is open.
@@ -19,7 +19,7 @@
   /// Nothing is open any more.
   virtual bool drained() const = 0;
   /// Counts since the start, for STAT and the log; names begin with the front's own.
-  virtual std::vector<std::pair<std::string, std::uint64_t>> figures() const = 0;
+  virtual std::vector<std::pair<std::string, std::uint64_t>> counters() const = 0;
 };
 
 }  // namespace arrowfork
--- a/src/net/list_memory.hpp
+++ b/src/net/list_persistence.hpp
@@ -9,15 +9,15 @@
 
 namespace arrowfork {
 
-class ListMemory {
+class ListPersistence {
  public:
-  virtual ~ListMemory() = default;
+  virtual ~ListPersistence() = default;
   /// Discovery has told the list, or that nothing has changed; whole, and as discovery has it.
-  virtual void told(const HostList& list) = 0;
+  virtual void on_list_confirmed(const HostList& list) = 0;
   /// Carries on with what waits for the disk; called every half second.
-  virtual void pump() = 0;
+  virtual void continue_writing() = 0;
   /// For STAT and the log; names begin with `store_`.
-  virtual std::vector<std::pair<std::string, std::string>> figures() const = 0;
+  virtual std::vector<std::pair<std::string, std::string>> stats() const = 0;
 };
 
 }  // namespace arrowfork
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -140,7 +140,7 @@
     if (taken.listener) {
       taking_over_ = true;
       clients_.listen_on(std::move(taken.listener));
-      clients_.hold_back(true);
+      clients_.suspend_accepting(true);
       try {
         if (!taken.list.empty()) config_.known = parse_host_list(taken.list);
       } catch (const ConfigError& e) {
@@ -154,7 +154,7 @@
   HostList known = hand_.take(config_.known);
   servers_.take_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
-  recovery_.handed(clock_.now(), any_ready());
+  recovery_.handed(clock_.now(), has_ready_server());
   log_settings();
   pulse_event_.reset(event_new(base, -1, EV_PERSIST, on_pulse, this));
   timeval pulse = timeval_of(kPulse);
@@ -189,7 +189,7 @@
       // Requests go on before answers go back: they have the longer way.
       servers_.flush();
       clients_.flush();
-      for (Front* front : fronts_) front->flush();
+      for (Frontend* front : fronts_) front->flush();
     } while (core_.pending() || servers_.dirty() || clients_.dirty());
     note_recovery();
     arm();
@@ -232,14 +232,14 @@
   // A successor listens on the same socket: nobody is kept waiting, and connections go over to it.
   bool handing = handover_ && handover_->has_successor();
   if (handing)
-    clients_.set_give([this](int client) {
+    clients_.set_hand_over([this](int client) {
       switch (handover_->give(client)) {
         case Handover::Given::Yes:
-          return ClientSide::Given::Yes;
+          return ClientSide::HandOverResult::Sent;
         case Handover::Given::Later:
-          return ClientSide::Given::Later;
+          return ClientSide::HandOverResult::RetryLater;
         default:
-          return ClientSide::Given::No;
+          return ClientSide::HandOverResult::NotSent;
       }
     });
   timeval wait = timeval_of(handing ? 0 : kStopListening);
@@ -250,14 +250,14 @@
   auto* r = static_cast<Router*>(self);
   r->clients_.drain();
   bool drained = true;
-  for (Front* front : r->fronts_) {
+  for (Frontend* front : r->fronts_) {
     front->drain();
     drained &= front->drained();
   }
   Micros waited = r->clock_.now() - r->stopping_since_;
   if ((r->core_.open_requests() == 0 && r->clients_.connections() == 0 && drained) ||
       waited > r->core_.longest_deadline() + kStopSlack) {
-    r->clients_.end();
+    r->clients_.shut_down();
     r->done_ = true;
     return;
   }
@@ -281,8 +281,8 @@
 
 void Router::on_hosts(HostList&& told) {
   apply(std::move(told));
-  recovery_.told(clock_.now(), any_ready());
-  if (memory_) memory_->told(hand_.told());
+  recovery_.told(clock_.now(), has_ready_server());
+  if (memory_) memory_->on_list_confirmed(hand_.told());
   take_over_if_ready();
 }
 
@@ -290,7 +290,7 @@
 /// is by the one budget (src/membership/call_schedule), which a second plan beside it would only
 /// double.
 void Router::watch() {
-  if (!(any_ready() && discovery_.planned())) discovery_.watch();
+  if (!(has_ready_server() && discovery_.planned())) discovery_.watch();
 }
 
 /// One line of the servers that a list newly announces as leaving or gone, with when it came.
@@ -313,7 +313,7 @@
 
 // ---- coming back ----
 
-bool Router::any_ready() const {
+bool Router::has_ready_server() const {
   return std::any_of(hand_.listed().begin(), hand_.listed().end(), [](const auto& entry) {
     return entry.second.server.health == robinseam::Health::Ready;
   });
@@ -352,7 +352,7 @@
 void Router::on_pulse(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   Micros now = r->clock_.now();
-  if (r->memory_) r->memory_->pump();
+  if (r->memory_) r->memory_->continue_writing();
   r->note_overdue();
   if (now - std::exchange(r->pulse_at_, now) < kPulse + kStoodStill) return;
   // What is held is from before: discovery is asked what has changed since. Whatever stopped this
@@ -384,8 +384,8 @@
 // ---- operators ----
 
 bool Router::ready() const {
-  if (taking_over_ || stopping_since_ || clients_.away()) return false;
-  return any_ready();
+  if (taking_over_ || stopping_since_ || clients_.operator_drain()) return false;
+  return has_ready_server();
 }
 
 std::string Router::on_control(const ControlCall& call) {
@@ -403,7 +403,7 @@
     case What::Resume:
       std::fprintf(stderr, "arrowfork: %s by hand\n",
                    call.what == What::Drain ? "drained" : "resumed");
-      clients_.send_away(call.what == What::Drain);
+      clients_.set_operator_drain(call.what == What::Drain);
       return control_answer(200, "done\n");
   }
   return control_answer(400, "no such call\n");
@@ -443,7 +443,7 @@
     json["failure"][name] = counts.ends[k].failed;
   }
   json["backend_calls"] = servers_.counts().written;
-  json["inflight"] = core_.unanswered() + clients_.piping();
+  json["inflight"] = core_.unanswered() + clients_.streaming_values();
   json["hosts_listed"] = hand_.listed().size();
   json["hosts_down"] =
       std::count_if(hand_.listed().begin(), hand_.listed().end(), [this](const auto& entry) {
@@ -474,19 +474,19 @@
   }
   std::fprintf(stderr, "arrowfork: takes over from the running process\n");
   handover_->take();
-  clients_.hold_back(false);
+  clients_.suspend_accepting(false);
 }
 
 void Router::on_successor() {
   std::fprintf(stderr, "arrowfork: a new process accepts clients\n");
-  clients_.hold_back(true);
+  clients_.suspend_accepting(true);
   share_out();
 }
 
 void Router::on_successor_lost() {
   std::fprintf(stderr, "arrowfork: the new process has ended\n");
-  if (!stopping_since_) clients_.hold_back(false);
-  clients_.set_give(nullptr);
+  if (!stopping_since_) clients_.suspend_accepting(false);
+  clients_.set_hand_over(nullptr);
   share_out();
 }
 
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -16,8 +16,8 @@
 #include "client_side.hpp"
 #include "config.hpp"
 #include "discovery.hpp"
-#include "front.hpp"
-#include "list_memory.hpp"
+#include "frontend.hpp"
+#include "list_persistence.hpp"
 #include "recovery/recovery.hpp"
 #include "server_side.hpp"
 
@@ -49,15 +49,15 @@
   /// Clients are accepted here and some cache server is listed that may be used.
   bool ready() const;
   /// A listed server may be used.
-  bool any_ready() const;
+  bool has_ready_server() const;
   /// A reload that could not be carried out, for the figures.
-  void note_failed_reload() { ++reloads_failed_; }
+  void record_failed_reload() { ++reloads_failed_; }
   Core& core() { return core_; }
   /// A further front, which takes part in the loop and in the planned end from here on. It must
   /// outlive run().
   /// Is told each list from now on; nullptr: none. It must outlive the router.
-  void set_list_memory(ListMemory* memory) { memory_ = memory; }
-  void add_front(Front& front) { fronts_.push_back(&front); }
+  void set_list_persistence(ListPersistence* memory) { memory_ = memory; }
+  void add_frontend(Frontend& front) { fronts_.push_back(&front); }
   std::string address_of(const std::string& server) const { return servers_.address_of(server); }
   const std::vector<robinseam::ReportField>& report_fields() const {
     return config_.settings.report_fields;
@@ -141,8 +141,8 @@
   bool taking_over_ = false;        // the predecessor still accepts
   std::size_t held_elsewhere_ = 0;  // descriptors of the other process of an upgrade
   std::uint64_t reloads_ok_ = 0, reloads_failed_ = 0;
-  std::vector<Front*> fronts_;
-  ListMemory* memory_ = nullptr;
+  std::vector<Frontend*> fronts_;
+  ListPersistence* memory_ = nullptr;
   std::set<std::string> down_;  // listed servers that the last line of states left as down
   Micros stopping_since_ = 0;
   bool done_ = false;
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -102,9 +102,9 @@
   add("seeds", m.saved_seeds);
   add("keys", m.tracked_keys);
   if (memory_)
-    for (auto& [name, value] : memory_->figures()) all.emplace_back(name, value);
-  for (const Front* front : fronts_)
-    for (const auto& [name, value] : front->figures()) add(name.c_str(), value);
+    for (auto& [name, value] : memory_->stats()) all.emplace_back(name, value);
+  for (const Frontend* front : fronts_)
+    for (const auto& [name, value] : front->counters()) add(name.c_str(), value);
   return all;
 }
 
--- a/src/store/keeping.cpp
+++ b/src/store/keeping.cpp
@@ -39,7 +39,7 @@
 
 Keeping::~Keeping() {
   // What came while the disk was at work; what it takes after that is the end's own time.
-  if (committer_ && committer_->settle()) pump();
+  if (committer_ && committer_->settle()) continue_writing();
 }
 
 void Keeping::give(arrowfork::Config& config) {
@@ -72,7 +72,7 @@
   }
 }
 
-void Keeping::told(const arrowfork::HostList& list) {
+void Keeping::on_list_confirmed(const arrowfork::HostList& list) {
   if (!committer_) return;
   std::string text = arrowfork::text_of(list);
   Micros now = wall_();
@@ -86,10 +86,10 @@
     return say(fault, "does not keep the list");
   }
   last_text_ = std::move(text), kept_at_ = now;
-  pump();
+  continue_writing();
 }
 
-void Keeping::pump() {
+void Keeping::continue_writing() {
   if (!committer_) return;
   Committer::State s = committer_->state();
   if (s.busy) return;
@@ -107,7 +107,7 @@
                fault == Fault::None ? "is written again" : what, name_of(fault));
 }
 
-std::vector<std::pair<std::string, std::string>> Keeping::figures() const {
+std::vector<std::pair<std::string, std::string>> Keeping::stats() const {
   std::vector<std::pair<std::string, std::string>> all;
   auto add = [&](const char* name, std::uint64_t value) {
     all.emplace_back(name, std::to_string(value));
--- a/src/store/keeping.hpp
+++ b/src/store/keeping.hpp
@@ -9,13 +9,13 @@
 
 #include "io/clock.hpp"
 #include "net/config.hpp"
-#include "net/list_memory.hpp"
+#include "net/list_persistence.hpp"
 #include "store/belief.hpp"
 #include "store/committer.hpp"
 
 namespace wheeldeal::store {
 
-class Keeping final : public arrowfork::ListMemory {
+class Keeping final : public arrowfork::ListPersistence {
  public:
   /// Opens the folder of `settings` for the router of that name. Never fails: a folder that can't
   /// be used is told in the log, and nothing is kept. `wall`: Unix time in microseconds.
@@ -25,9 +25,9 @@
 
   /// Puts the kept list in the place of one that the configuration does not give.
   void give(arrowfork::Config& config);
-  void told(const arrowfork::HostList& list) override;
-  void pump() override;
-  std::vector<std::pair<std::string, std::string>> figures() const override;
+  void on_list_confirmed(const arrowfork::HostList& list) override;
+  void continue_writing() override;
+  std::vector<std::pair<std::string, std::string>> stats() const override;
 
  private:
   void say(Fault fault, const char* what);
--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -32,7 +32,7 @@
 }
 
 /// What a raw client is told for `bytes`: statuses by opaque, until the connection ends or `count`.
-std::vector<binary::Answer> told(Link& client, std::size_t count) {
+std::vector<binary::Answer> told(TestConnection& client, std::size_t count) {
   std::vector<binary::Answer> all;
   while (all.size() < count) {
     std::string p = read_packet(client);
@@ -52,15 +52,15 @@
     client_ = router_->client();
   }
   void expect_alive() {
-    Link other = router_->client();
+    TestConnection other = router_->client();
     other.write(packet(Opcode::GetK, 77, "alive"));
     binary::Answer a = read_answer(other);
     EXPECT_EQ(a.opaque, 77u);
     EXPECT_EQ(a.value, "v:alive");
   }
-  ServingPeer server_{good_server(), whole_packet};
+  ServingPeer server_{good_server(), complete_packet_size};
   std::unique_ptr<RunningRouter> router_;
-  Link client_;
+  TestConnection client_;
 };
 
 // ---- clients ----
@@ -102,11 +102,11 @@
   client_.write(packet(Opcode::Get, 5, "a") + packet(Opcode::Quit, 6) + packet(Opcode::Noop, 7));
   EXPECT_EQ(read_answer(client_).opaque, 5u);
   EXPECT_EQ(read_answer(client_).opaque, 6u);
-  EXPECT_TRUE(client_.ends());
-  Link quiet = router_->client();
+  EXPECT_TRUE(client_.is_closed());
+  TestConnection quiet = router_->client();
   quiet.write(packet(Opcode::Get, 1, "a") + packet(Opcode::QuitQ, 2));
   EXPECT_EQ(read_answer(quiet).opaque, 1u);
-  EXPECT_TRUE(quiet.ends());
+  EXPECT_TRUE(quiet.is_closed());
 }
 
 TEST_F(OneServer, WhatCantBeServedIsToldAndTheConnectionGoesOn) {
@@ -137,13 +137,13 @@
   for (int k = 8; k < 12; ++k) huge[k] = static_cast<char>(0xff);
   const std::pair<std::string, std::uint16_t> cases[] = {{shorter, 0x04}, {huge, 0x03}};
   for (const auto& [bytes, status] : cases) {
-    Link client = router_->client();
+    TestConnection client = router_->client();
     client.write(packet(Opcode::Get, 9, "a") + bytes);
     EXPECT_EQ(read_answer(client).opaque, 9u);  // what was whole before is answered
     binary::Answer a = read_answer(client);
     EXPECT_EQ(a.status, status);
     EXPECT_EQ(a.opaque, 1u);
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.is_closed());
   }
   expect_alive();
 }
@@ -152,10 +152,10 @@
   start();
   std::string bytes = packet(Opcode::Set, 1, "key", "value");
   for (std::size_t size = 1; size < bytes.size(); ++size) {
-    Link client = router_->client();
+    TestConnection client = router_->client();
     client.write(bytes.substr(0, size));
-    client.end_sending();
-    EXPECT_TRUE(client.ends()) << size;
+    client.shut_down_sending();
+    EXPECT_TRUE(client.is_closed()) << size;
   }
   expect_alive();
 }
@@ -172,7 +172,7 @@
 
 TEST_F(OneServer, MetaAndBinaryClientsShareTheListener) {
   start();
-  Link meta = router_->client();
+  TestConnection meta = router_->client();
   client_.write(packet(Opcode::Get, 1, "a"));
   meta.write("mg a v OM1 Pc=read,t=acme,d=5000\r\n");
   EXPECT_EQ(read_answer(client_).value, "v:a");
@@ -183,7 +183,7 @@
   EXPECT_EQ(meta.line(), "ERROR\r\n");
   client_.write("mn\r\n");
   EXPECT_EQ(read_answer(client_).status, binary::status::kInvalid);
-  EXPECT_TRUE(client_.ends());
+  EXPECT_TRUE(client_.is_closed());
 }
 
 TEST(BinaryOff, WithoutTheSettingTheFirstByteMeansNothing) {
@@ -191,7 +191,7 @@
   ConfigText c;
   c.hosts = {host_json("s-1", server.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::Version, 1) + "\r\n");
   EXPECT_EQ(client.line(), "ERROR\r\n");
   client.write("mg k v f O1 Pc=read,d=100\r\n");  // nor are flags known
@@ -207,12 +207,12 @@
       return binary::response(c.opcode, binary::status::kInternal, c.opaque, "failed");
     return good_answer(c);
   };
-  ServingPeer one(answer, whole_packet);
+  ServingPeer one(answer, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", one.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::GetQ, 1, "a") + packet(Opcode::SetQ, 2, "b", "v") +
                packet(Opcode::GetQ, 3, "full") + packet(Opcode::SetQ, 4, "full", "v") +
                packet(Opcode::SetQ, 5, "failing", "v") + packet(Opcode::GetK, 6, "c") +
@@ -236,12 +236,12 @@
     binary::Command c = command_of(p);
     return served(c, c.key == "alive" ? "yes" : std::string(kMaxValue, 'v'));
   };
-  ServingPeer server(answer, whole_packet);
+  ServingPeer server(answer, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link greedy = router.client();
+  TestConnection greedy = router.client();
   int small = 4096;
   ::setsockopt(greedy.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   std::string bytes;
@@ -249,7 +249,7 @@
     bytes += packet(Opcode::GetQ, k, "key" + std::to_string(k));
   greedy.write(bytes);  // all fits the sockets' buffers
   // The rest is served meanwhile, and the one that takes nothing is given up.
-  Link other = router.client();
+  TestConnection other = router.client();
   for (int k = 0; k < 20; ++k) {
     other.write(packet(Opcode::Get, 1, "alive"));
     EXPECT_EQ(read_answer(other).value, "yes");
@@ -261,7 +261,7 @@
       if (a.key == "curr_connections") count = std::stoi(a.value);
     return count;
   };
-  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   while (connections() > 1 && std::chrono::steady_clock::now() < end)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   EXPECT_EQ(connections(), 1);
@@ -270,16 +270,16 @@
 
 TEST_F(OneServer, TerminationLetsAQuietBatchReachItsBarrier) {
   start();
-  Link idle = router_->client();
+  TestConnection idle = router_->client();
   idle.write(packet(Opcode::Noop, 1));
   EXPECT_EQ(read_answer(idle).opaque, 1u);
   client_.write(packet(Opcode::SetQ, 1, "a", "v") + packet(Opcode::GetQ, 2, "b"));
   EXPECT_EQ(read_answer(client_).opaque, 2u);
   router_->terminate();
-  EXPECT_TRUE(idle.ends());  // drained: between requests it is closed
+  EXPECT_TRUE(idle.is_closed());  // drained: between requests it is closed
   client_.write(packet(Opcode::SetQ, 3, "c", "v") + packet(Opcode::Noop, 4));
   EXPECT_EQ(read_answer(client_).opaque, 4u);
-  EXPECT_TRUE(client_.ends());
+  EXPECT_TRUE(client_.is_closed());
   client_.close(), idle.close();
   router_->wait_for_end();
 }
@@ -294,7 +294,7 @@
   router_->reload(next.text());
   client_.write(packet(Opcode::Noop, 3));
   EXPECT_EQ(read_answer(client_).opaque, 3u);  // an open connection keeps its protocol
-  Link late = router_->client();
+  TestConnection late = router_->client();
   late.write(packet(Opcode::Noop, 1) + "\r\n");
   EXPECT_EQ(late.line(), "ERROR\r\n");
 }
@@ -309,14 +309,14 @@
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
     client_.write(bytes);
-    std::size_t who = first_called({&a_, &b_});
+    std::size_t who = first_contacted({&a_, &b_});
     spare_ = who == 0 ? &b_ : &a_;
     hit_ = who == 0 ? &a_ : &b_;
     link_ = hit_->accept();
     asked_ = command_of(read_packet(link_));
   }
   void expect_retry() {
-    Link second = spare_->accept();
+    TestConnection second = spare_->accept();
     binary::Command c = command_of(read_packet(second));
     EXPECT_EQ(c.key, asked_.key);
     second.write(served(c, "fine"));
@@ -326,7 +326,7 @@
   ConfigText config_;
   std::unique_ptr<RunningRouter> router_;
   Peer *hit_ = nullptr, *spare_ = nullptr;
-  Link client_, link_;
+  TestConnection client_, link_;
   binary::Command asked_;
 };
 
@@ -336,7 +336,7 @@
   ++wrong.opaque;
   link_.write(served(wrong, "wrong"));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(SpoiltBinary, AnAnswerWithAnothersKeyIsNeverServed) {
@@ -345,14 +345,14 @@
   wrong.key = "kez";
   link_.write(served(wrong, "wrong"));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(SpoiltBinary, AnAnswerToAnotherOpcodeIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   link_.write(binary::response(Opcode::Set, 0, asked_.opaque, {}, {}, 0, 5));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(SpoiltBinary, AnAnswerCutAtAnyByteIsRetriedElsewhere) {
@@ -369,8 +369,8 @@
   start(packet(Opcode::Get, 1, "key"));
   link_.write(served(asked_, "good") + served(asked_, "again"));
   EXPECT_EQ(read_answer(client_).value, "good");
-  EXPECT_TRUE(link_.ends());
-  EXPECT_TRUE(client_.silent(50));
+  EXPECT_TRUE(link_.is_closed());
+  EXPECT_TRUE(client_.stays_silent(50));
 }
 
 TEST_F(SpoiltBinary, ALateAnswerWithACancelledOpaqueIsDroppedAndNeverServed) {
@@ -390,7 +390,7 @@
   for (int k = 0; k < 40 && !again; ++k) {  // the door may be shut to some keys by now
     client_.write(packet(Opcode::Get, 2, "key" + std::to_string(k)));
     std::vector<pollfd> fds = {{link_.fd(), POLLIN, 0}, {client_.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(fds.data(), 2, kPatienceMs), 0);
+    ASSERT_GT(::poll(fds.data(), 2, kTestTimeoutMs), 0);
     again = fds[0].revents != 0;
     if (!again) {
       EXPECT_NE(read_answer(client_).status, 0);
@@ -404,7 +404,7 @@
   forged.opaque = given_up.opaque;
   link_.write(served(forged, "old"));
   EXPECT_NE(read_answer(client_).value, "old");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST(WrongProtocol, CostsOneAttemptAConnectionIsToldAndEndsWithAReload) {
@@ -421,17 +421,17 @@
   // Either a line or a packet: the stand-in sees what it was sent.
   auto line_or_packet = [](std::string_view text) {
     return !text.empty() && static_cast<unsigned char>(text[0]) == binary::kRequestMagic
-               ? whole_packet(text)
-               : whole_line(text);
+               ? complete_packet_size(text)
+               : complete_line_size(text);
   };
   ServingPeer wrong(meta, line_or_packet);
   ServingPeer right([&](const std::string& p) { return ++good_served, good_answer(command_of(p)); },
-                    whole_packet);
+                    complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", wrong.address()), host_json("s-2", right.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   testing::internal::CaptureStderr();
   int failed = 0;
   for (std::uint32_t k = 0; k < 400; ++k) {
@@ -450,7 +450,7 @@
   config.binary = R"({"write_class":"pay","servers":[{"id":"s-2"}]})";
   router.reload(config.text());
   // It recovers by itself, in seconds.
-  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   for (std::uint32_t k = 0; meta_served < 20 && std::chrono::steady_clock::now() < end; ++k) {
     client.write(packet(Opcode::Get, k, "again" + std::to_string(k)));
     read_answer(client);
@@ -465,19 +465,20 @@
   config.routers = 30;  // two connections a server
   TestClock clock;      // stands still: nothing is given up meanwhile
   RunningRouter router(config, &clock);
-  Link client = router.client();
+  TestConnection client = router.client();
   for (std::uint32_t k = 0; k < 6; ++k)
     client.write(packet(Opcode::Get, k, "key" + std::to_string(k)));
-  Link links[2] = {server.accept(), server.accept()};
+  TestConnection links[2] = {server.accept(), server.accept()};
   binary::Command first[2] = {command_of(read_packet(links[0])), command_of(read_packet(links[1]))};
-  EXPECT_TRUE(links[0].silent(50));
-  EXPECT_TRUE(links[1].silent(50));
+  EXPECT_TRUE(links[0].stays_silent(50));
+  EXPECT_TRUE(links[1].stays_silent(50));
   links[0].write(good_answer(first[0]));
   links[1].write(good_answer(first[1]));
   for (int left = 4; left > 0; --left) {
-    for (int k = 0; k < kPatienceMs && links[0].silent(0) && links[1].silent(1); ++k) {
+    for (int k = 0; k < kTestTimeoutMs && links[0].stays_silent(0) && links[1].stays_silent(1);
+         ++k) {
     }
-    Link& link = links[links[0].silent(0) ? 1 : 0];
+    TestConnection& link = links[links[0].stays_silent(0) ? 1 : 0];
     link.write(good_answer(command_of(read_packet(link))));
   }
   for (std::uint32_t k = 0; k < 6; ++k)
@@ -490,13 +491,13 @@
   config.binary = R"({"write_class":"pay"})";
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   testing::internal::CaptureStderr();
   client.write(packet(Opcode::Get, 1, "key"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(at_server.line().substr(0, 11), "mg key v f ");
   at_server.write(binary::response(Opcode::Noop, binary::status::kInvalid, 0));
-  EXPECT_TRUE(at_server.ends());
+  EXPECT_TRUE(at_server.is_closed());
   EXPECT_NE(read_answer(client).status, 0);
   EXPECT_NE(testing::internal::GetCapturedStderr().find(
                 "answers in the binary protocol but is configured for meta"),
@@ -510,18 +511,18 @@
     config.binary = std::string(R"({"write_class":"put","servers":[{"id":"s-2"}])") +
                     (cas ? R"(,"server_idempotency":"cas"})" : "}");
     RunningRouter router(config);
-    Link client = router.client();
+    TestConnection client = router.client();
     client.write("ms key 1 OW1 Pc=put,t=acme,d=15000,k=5c0f6e1a2b3d4c59\r\nv\r\n");
-    std::size_t who = first_called({&a, &b});
+    std::size_t who = first_contacted({&a, &b});
     Peer &hit = who ? b : a, &spare = who ? a : b;
-    Link first = hit.accept();
+    TestConnection first = hit.accept();
     first.bytes(1);
     first.send_reset();
     if (cas) {
       EXPECT_EQ(spare.accept().bytes(1).size(), 1u);
     } else {
       EXPECT_EQ(client.line(), "SERVER_ERROR failed\r\n");
-      EXPECT_TRUE(spare.nobody_comes(50));
+      EXPECT_TRUE(spare.no_connection_within(50));
     }
   }
 }
@@ -532,14 +533,14 @@
     if (c.key.starts_with("held")) return good_answer(c);
     return binary::response(c.opcode, binary::status::kNotFound, c.opaque, "Not found");
   };
-  ServingPeer cache(missing, whole_packet), origin(missing, whole_packet);
+  ServingPeer cache(missing, complete_packet_size), origin(missing, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.origin_kind = "ledger";
   config.hosts = {host_json("s-1", cache.address()),
                   host_json("o-1", origin.address(), "active", 0, "ledger")};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::Get, 1, "a") + packet(Opcode::GetQ, 2, "b") +
                packet(Opcode::GetQ, 3, "held") + packet(Opcode::Noop, 4));
   auto all = told(client, 3);
@@ -557,12 +558,12 @@
         binary::Command c = command_of(p);
         return binary::response(c.opcode, binary::status::kNotFound, c.opaque, "Not found");
       },
-      whole_packet);
+      complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::GetQ, 1, "a"));
   binary::Answer a = read_answer(client);  // told, though quiet
   EXPECT_TRUE(a.status == binary::status::kInternal || a.status == binary::status::kBusy);
--- a/tests/binary/pairs_test.cpp
+++ b/tests/binary/pairs_test.cpp
@@ -29,7 +29,7 @@
     client = router_->client();
   }
   struct Arrival {
-    Link* link;
+    TestConnection* link;
     std::size_t server;
     Asked asked;
   };
@@ -38,7 +38,7 @@
     while (true) {
       std::vector<pollfd> fds = {{a_.fd(), POLLIN, 0}, {b_.fd(), POLLIN, 0}};
       for (auto& one : links_) fds.push_back({one.link.fd(), POLLIN, 0});
-      if (::poll(fds.data(), fds.size(), kPatienceMs) <= 0) {
+      if (::poll(fds.data(), fds.size(), kTestTimeoutMs) <= 0) {
         ADD_FAILURE() << "nothing comes";
         return {nullptr, 0, {}};
       }
@@ -49,7 +49,7 @@
         if (fds[who].revents) links_.push_back({(who ? b_ : a_).accept(), who});
     }
   }
-  void forget(Link* link) {
+  void forget(TestConnection* link) {
     links_.remove_if([&](const Open& one) { return &one.link == link; });
   }
   bool nothing_comes(int ms) const {
@@ -65,11 +65,11 @@
   TestClock clock;
   ClientTalk client_talk;
   ServerTalk server;
-  Link client;
+  TestConnection client;
 
  private:
   struct Open {
-    Link link;
+    TestConnection link;
     std::size_t server;
   };
   Peer a_, b_, discovery_;
@@ -238,7 +238,7 @@
     EXPECT_EQ(one.key, "one");
     EXPECT_EQ(two.key, "two");
     p.server.serve(*second, two, "2", 0);
-    EXPECT_TRUE(p.client.silent(50));
+    EXPECT_TRUE(p.client.stays_silent(50));
     p.server.serve(*first, one, "1", 0);
     EXPECT_EQ(p.client_talk.told(p.client).text, "1");
     EXPECT_EQ(p.client_talk.told(p.client).text, "2");
--- a/tests/binary/talk.hpp
+++ b/tests/binary/talk.hpp
@@ -24,13 +24,13 @@
 };
 
 /// The size of the first packet in `text`; 0 where none is whole.
-inline std::size_t whole_packet(std::string_view text) {
+inline std::size_t complete_packet_size(std::string_view text) {
   if (text.size() < binary::kHeader) return 0;
   std::size_t body = 0;
   for (int k = 8; k < 12; ++k) body = body << 8 | static_cast<unsigned char>(text[k]);
   return text.size() < binary::kHeader + body ? 0 : binary::kHeader + body;
 }
-inline std::string read_packet(Link& link) {
+inline std::string read_packet(TestConnection& link) {
   std::string packet = link.bytes(binary::kHeader);
   if (packet.size() < binary::kHeader) return packet;
   std::size_t body = 0;
@@ -51,7 +51,7 @@
   EXPECT_EQ(reader.take(in, answer), binary::AnswerReader::Got::Answer);
   return answer;
 }
-inline binary::Answer read_answer(Link& link) { return answer_of(read_packet(link)); }
+inline binary::Answer read_answer(TestConnection& link) { return answer_of(read_packet(link)); }
 inline std::string packet(binary::Opcode opcode, std::uint32_t opaque, const std::string& key = "",
                           const std::string& value = "", std::uint32_t flags = 0,
                           std::uint64_t cas = 0) {
@@ -82,7 +82,7 @@
  public:
   explicit ServerTalk(Speaks speaks) : speaks_(speaks) {}
 
-  Asked read(Link& link) const {
+  Asked read(TestConnection& link) const {
     Asked a;
     if (speaks_ == Speaks::Binary) {
       a.packet = command_of(read_packet(link));
@@ -110,7 +110,8 @@
     if (c.value) a.value = *c.value;
     return a;
   }
-  void serve(Link& link, const Asked& a, const std::string& value, std::uint32_t flags) const {
+  void serve(TestConnection& link, const Asked& a, const std::string& value,
+             std::uint32_t flags) const {
     if (speaks_ == Speaks::Binary)
       link.write(served(a.packet, value, flags));
     else
@@ -118,20 +119,23 @@
           value_answer(a.id, value)
               .insert(3 + std::to_string(value.size()).size(), " f" + std::to_string(flags)));
   }
-  void store(Link& link, const Asked& a, const std::string& receipt) const {
+  void store(TestConnection& link, const Asked& a, const std::string& receipt) const {
     if (speaks_ == Speaks::Binary)
       link.write(binary::response(a.packet.opcode, binary::status::kOk, a.packet.opaque, {}, {}, 0,
                                   cas_of(receipt)));
     else
       link.write("HD O" + a.id + " c" + receipt + "\r\n");
   }
-  void busy(Link& link, const Asked& a) const { error(link, a, binary::status::kBusy, "busy 9"); }
-  void fail(Link& link, const Asked& a) const {
+  void busy(TestConnection& link, const Asked& a) const {
+    error(link, a, binary::status::kBusy, "busy 9");
+  }
+  void fail(TestConnection& link, const Asked& a) const {
     error(link, a, binary::status::kInternal, "failed");
   }
 
  private:
-  void error(Link& link, const Asked& a, std::uint16_t status, const std::string& text) const {
+  void error(TestConnection& link, const Asked& a, std::uint16_t status,
+             const std::string& text) const {
     if (speaks_ == Speaks::Binary)
       link.write(binary::response(a.packet.opcode, status, a.packet.opaque, text));
     else
@@ -152,15 +156,16 @@
  public:
   explicit ClientTalk(Speaks speaks) : speaks_(speaks) {}
 
-  void get(Link& link, const std::string& key, const std::string& id) {
+  void get(TestConnection& link, const std::string& key, const std::string& id) {
     if (speaks_ == Speaks::Binary)
       link.write(packet(binary::Opcode::GetK, ++opaque_, key));
     else
       link.write("mg " + key + " v f O" + id + " Pc=read,t=acme,d=20000\r\n");
   }
   /// `idempotency`: 16 hex digits or none.
-  void set(Link& link, const std::string& type, const std::string& key, const std::string& value,
-           std::uint32_t flags, const std::string& idempotency, const std::string& id) {
+  void set(TestConnection& link, const std::string& type, const std::string& key,
+           const std::string& value, std::uint32_t flags, const std::string& idempotency,
+           const std::string& id) {
     if (speaks_ == Speaks::Binary) {
       link.write(packet(binary::Opcode::Set, ++opaque_, key, value, flags, cas_of(idempotency)));
       return;
@@ -171,7 +176,7 @@
     if (!idempotency.empty()) line += ",k=" + idempotency;
     link.write(line + "\r\n" + value + "\r\n");
   }
-  Told told(Link& link) {
+  Told told(TestConnection& link) {
     Told t;
     if (speaks_ == Speaks::Meta) {
       AnswerReader reader(&no_fields_);
--- a/tests/extproc/server_test.cpp
+++ b/tests/extproc/server_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 namespace pb = envoy::service::ext_proc::v3;
-using test::Link;
+using test::TestConnection;
 
 const char* const kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
@@ -28,7 +28,8 @@
     auto known = port.get_future();
     router_ = std::make_unique<test::RunningRouter>(
         config_, nullptr, nullptr,
-        [&](event_base* base, const TimeSource& clock, Router& router) -> std::unique_ptr<Front> {
+        [&](event_base* base, const TimeSource& clock,
+            Router& router) -> std::unique_ptr<Frontend> {
           auto made = std::make_unique<Server>(
               base, clock, router.core(), settings_, router.report_fields(),
               [&router](const std::string& id) { return router.address_of(id); });
@@ -37,11 +38,11 @@
           return made;
         });
     port_ = known.get();
-    link_ = Link::to(port_);
+    link_ = TestConnection::to(port_);
   }
   /// Carries bytes until `done`, or the peer ends, or the patience is over.
   bool until(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(test::kPatienceMs);
+    auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(test::kTestTimeoutMs);
     while (!done()) {
       if (std::string out = caller_.send(); !out.empty()) link_.write(out);
       pollfd p{link_.fd(), POLLIN, 0};
@@ -90,7 +91,7 @@
   ExtProcSettings settings_;
   std::unique_ptr<test::RunningRouter> router_;
   std::uint16_t port_ = 0;
-  Link link_;
+  TestConnection link_;
   test::Caller caller_;
 };
 
@@ -108,9 +109,9 @@
   EXPECT_TRUE(until([&] { return caller_.seen[call].closed; }));
   EXPECT_EQ(caller_.seen[call].headers["grpc-status"], "0");
   // The same core serves meta clients meanwhile.
-  Link client = router_->client();
+  TestConnection client = router_->client();
   client.write("mg key v Om1 Pc=read,t=acme,d=15000\r\n");
-  Link at_server = server_.accept();
+  TestConnection at_server = server_.accept();
   EXPECT_EQ(test::id_of(at_server.line()), "m1");
   at_server.write(test::value_answer("m1", "v"));
   EXPECT_EQ(client.line(), "VA 1 Om1\r\n");
@@ -123,20 +124,20 @@
   settings_.keepalive = 100 * kMillisecond;
   settings_.keepalive_timeout = 100 * kMillisecond;
   start();
-  Link mute = Link::to(port_), half = Link::to(port_);
+  TestConnection mute = TestConnection::to(port_), half = TestConnection::to(port_);
   half.write("PRI * HTTP/2.0\r\n\r\nSM");
   EXPECT_NE(endpoint(answer(ask("v1"))), "");
   // A caller that answers pings stays, whatever the time.
   auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(900);
   EXPECT_TRUE(until([&] { return std::chrono::steady_clock::now() > end; }));
   EXPECT_NE(endpoint(answer(ask("v2"))), "");
-  mute.rest(), half.rest();  // both end
-  link_.rest();              // and from here on nobody answers its pings
+  mute.read_to_end(), half.read_to_end();  // both end
+  link_.read_to_end();                     // and from here on nobody answers its pings
   std::map<std::string, std::uint64_t> figures;
   do {
     figures.clear();
-    router_->in_loop([&] {
-      for (auto& [name, value] : server_in_loop_->figures()) figures[name] = value;
+    router_->run_in_loop([&] {
+      for (auto& [name, value] : server_in_loop_->counters()) figures[name] = value;
     });
   } while (figures["ext_proc_streams_open"] > 0);
   EXPECT_EQ(figures["ext_proc_connections_half_open"], 2u);
@@ -196,11 +197,11 @@
 TEST_F(ServerTest, MoreConnectionsThanTheLimitAreClosedAndGarbageHarmsNobody) {
   settings_.connections = 2;
   start();
-  Link second = Link::to(port_);
+  TestConnection second = TestConnection::to(port_);
   auto call = ask("r1");
   EXPECT_EQ(endpoint(answer(call)), server_.address());
-  Link third = Link::to(port_);
-  EXPECT_TRUE(third.ends());
+  TestConnection third = TestConnection::to(port_);
+  EXPECT_TRUE(third.is_closed());
   second.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n" + std::string(200, 'x'));
   while (!second.bytes(1).empty()) {
   }
@@ -211,7 +212,7 @@
 TEST_F(ServerTest, ConnectionsLostAtAnyPointLeaveNothing) {
   start();
   for (int k = 0; k < 60; ++k) {
-    link_ = Link::to(port_);
+    link_ = TestConnection::to(port_);
     test::Caller fresh;
     auto id = fresh.call(kProcess);
     fresh.message(id, std::string(static_cast<std::size_t>(k), '\x0a'));
@@ -219,7 +220,7 @@
     link_.write(std::string_view(bytes).substr(0, bytes.size() * static_cast<std::size_t>(k) / 60));
     k % 2 ? link_.send_reset() : link_.close();
   }
-  link_ = Link::to(port_);
+  link_ = TestConnection::to(port_);
   auto call = ask("r1");
   EXPECT_EQ(endpoint(answer(call)), server_.address());
 }
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -17,22 +17,22 @@
 
 namespace arrowfork::test {
 
-constexpr int kPatienceMs = 20'000;
+constexpr int kTestTimeoutMs = 20'000;
 
 /// One connection, used by blocking calls.
-class Link {
+class TestConnection {
  public:
-  explicit Link(Fd fd = Fd()) : fd_(std::move(fd)) {
-    timeval limit{kPatienceMs / 1000, 0};
+  explicit TestConnection(Fd fd = Fd()) : fd_(std::move(fd)) {
+    timeval limit{kTestTimeoutMs / 1000, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
   }
-  static Link to(std::uint16_t port) {
+  static TestConnection to(std::uint16_t port) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     auto address = parse_address("127.0.0.1:" + std::to_string(port));
     if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&*address), sizeof *address) != 0)
       ADD_FAILURE() << "connect";
-    return Link(std::move(fd));
+    return TestConnection(std::move(fd));
   }
   int fd() const { return fd_.get(); }
   void close() { fd_.reset(); }
@@ -41,7 +41,7 @@
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
     fd_.reset();
   }
-  void end_sending() { ::shutdown(fd_.get(), SHUT_WR); }
+  void shut_down_sending() { ::shutdown(fd_.get(), SHUT_WR); }
   void write(std::string_view text) {
     while (!text.empty()) {
       ssize_t put = ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -61,7 +61,7 @@
     }
   }
   /// Everything up to the peer's end.
-  std::string rest() {
+  std::string read_to_end() {
     while (fill()) {
     }
     return cut(buffer_.size());
@@ -72,12 +72,12 @@
     return cut(count);
   }
   /// True when the peer ends the connection, orderly or not, with nothing unread.
-  bool ends() {
+  bool is_closed() {
     if (!buffer_.empty()) return false;
     return !fill() && !timed_out_;
   }
   /// True when nothing comes for `ms`.
-  bool silent(int ms) const {
+  bool stays_silent(int ms) const {
     if (!buffer_.empty()) return false;
     pollfd p{fd_.get(), POLLIN, 0};
     return ::poll(&p, 1, ms) == 0;
@@ -115,15 +115,15 @@
     port_ = ntohs(address->sin_port);
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  Link accept() {
+  TestConnection accept() {
     pollfd p{fd_.get(), POLLIN, 0};
-    if (::poll(&p, 1, kPatienceMs) != 1) {
+    if (::poll(&p, 1, kTestTimeoutMs) != 1) {
       ADD_FAILURE() << "nobody connects";
-      return Link();
+      return TestConnection();
     }
-    return Link(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
+    return TestConnection(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
-  bool nobody_comes(int ms) const {
+  bool no_connection_within(int ms) const {
     pollfd p{fd_.get(), POLLIN, 0};
     return ::poll(&p, 1, ms) == 0;
   }
@@ -136,24 +136,24 @@
 };
 
 /// The peer that somebody connects to first; its index.
-inline std::size_t first_called(const std::vector<Peer*>& peers) {
+inline std::size_t first_contacted(const std::vector<Peer*>& peers) {
   std::vector<pollfd> fds;
   for (Peer* p : peers) fds.push_back({p->fd(), POLLIN, 0});
-  if (::poll(fds.data(), fds.size(), kPatienceMs) <= 0) ADD_FAILURE() << "nobody connects";
+  if (::poll(fds.data(), fds.size(), kTestTimeoutMs) <= 0) ADD_FAILURE() << "nobody connects";
   for (std::size_t k = 0; k < fds.size(); ++k)
     if (fds[k].revents) return k;
   return 0;
 }
 
 /// The size of the first line in `text`, its end included; 0 where none is whole.
-inline std::size_t whole_line(std::string_view text) { return text.find('\n') + 1; }
+inline std::size_t complete_line_size(std::string_view text) { return text.find('\n') + 1; }
 
 /// A cache server on a thread of its own that answers each line, or what else `whole` finds in its
 /// bytes, with what `answer` makes of it. An empty answer ends the connection.
 class ServingPeer {
  public:
   explicit ServingPeer(std::function<std::string(const std::string&)> answer,
-                       std::size_t (*whole)(std::string_view) = whole_line) {
+                       std::size_t (*whole)(std::string_view) = complete_line_size) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) ADD_FAILURE() << "pipe";
     end_ = Fd(ends[1]);
@@ -266,8 +266,8 @@
 }
 
 /// Takes one call and answers it; its request line.
-inline std::string answer_call(Peer& discovery, const std::string& response) {
-  Link call = discovery.accept();
+inline std::string answer_next_call(Peer& discovery, const std::string& response) {
+  TestConnection call = discovery.accept();
   std::string request = call.line();
   for (std::string header = call.line(); header.size() > 2;) header = call.line();
   call.write(response);
@@ -277,7 +277,7 @@
 /// A router on a thread of its own, ended without a drain unless terminate() is called.
 class RunningRouter {
  public:
-  using Attach = std::function<std::unique_ptr<Front>(event_base*, const TimeSource&, Router&)>;
+  using Attach = std::function<std::unique_ptr<Frontend>(event_base*, const TimeSource&, Router&)>;
   /// `clock` and `tap` outlive it. `attach` makes a further front.
   explicit RunningRouter(const ConfigText& config, const TimeSource* clock = nullptr,
                          SeamTap* tap = nullptr, Attach attach = nullptr) {
@@ -292,9 +292,9 @@
       Clock own;
       Router router(base.get(), parse_config(config.text()), clock ? *clock : own);
       router.core().set_tap(tap);
-      std::unique_ptr<Front> front;
+      std::unique_ptr<Frontend> front;
       if (attach) front = attach(base.get(), clock ? *clock : own, router);
-      if (front) router.add_front(*front);
+      if (front) router.add_frontend(*front);
       std::string error;
       if (!router.listen(error)) ADD_FAILURE() << error;
       struct Told {
@@ -328,14 +328,14 @@
     order('q');
     thread_.join();
   }
-  Link client() const { return Link::to(port_); }
+  TestConnection client() const { return TestConnection::to(port_); }
   std::uint16_t port() const { return port_; }
   std::uint16_t control_port() const { return control_port_; }
   /// The whole answer to a call of the control address.
   std::string control(const std::string& method, const std::string& path) const {
-    Link link = Link::to(control_port_);
+    TestConnection link = TestConnection::to(control_port_);
     link.write(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n");
-    return link.rest();
+    return link.read_to_end();
   }
   /// As SIGHUP with `text` in the file; comes back when it has been dealt with.
   void reload(const std::string& text) {
@@ -346,7 +346,7 @@
     done.get_future().wait();
   }
   /// Runs `what` on the router's thread and comes back when that is done.
-  void in_loop(std::function<void()> what) {
+  void run_in_loop(std::function<void()> what) {
     what_ = std::move(what);
     std::promise<void> done;
     reloaded_ = &done;
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -44,9 +44,9 @@
     return ends[id];
   }
   /// The connection on which the attempt has come.
-  Link take(Peer& server, RequestId id) {
+  TestConnection take(Peer& server, RequestId id) {
     while (side.counts().written < id) run();
-    Link link = server.accept();
+    TestConnection link = server.accept();
     EXPECT_EQ(link.line().substr(0, 7), "mg key ");
     return link;
   }
@@ -90,7 +90,7 @@
     limits.per_server = 1;
     Dials dials(server, limits);
     RequestId first = dials.send();
-    Link link = dials.take(server, first);
+    TestConnection link = dials.take(server, first);
     // More than the two sockets hold, so that a part of it waits; then one behind it.
     Request large;
     large.write = true, large.key = "key", large.id = "w1", large.type = "put";
@@ -125,7 +125,7 @@
   r.key = "key", r.id = "d50", r.type = "read", r.tenant = "acme";
   dials.side.send("idle", 50, 0, r, kSecond);
   while (dials.side.counts().written < 1) dials.run();
-  Link kept = idle.accept();
+  TestConnection kept = idle.accept();
   kept.line();
   kept.write(value_for(50));
   EXPECT_EQ(dials.end_of(50), Status::Ok);
@@ -150,7 +150,7 @@
     Peer server;
     Dials dials(server);
     RequestId id = dials.send();
-    Link link = dials.take(server, id);
+    TestConnection link = dials.take(server, id);
     if (c.answered_before) {
       link.write(value_for(id));
       EXPECT_EQ(dials.end_of(id), Status::Ok) << c.what;
@@ -173,7 +173,7 @@
     limits.streams = 1;
     Dials dials(server, limits);
     RequestId first = dials.send();
-    Link link = dials.take(server, first);
+    TestConnection link = dials.take(server, first);
     link.write(value_for(first));
     EXPECT_EQ(dials.end_of(first), Status::Ok);
     RequestId second = dials.send();
@@ -203,7 +203,7 @@
     limits.tier_rate = c.rate;
     Dials dials(server, limits);
     RequestId id = dials.send();
-    Link link = dials.take(server, id);
+    TestConnection link = dials.take(server, id);
     link.write(value_for(id));
     EXPECT_EQ(dials.end_of(id), Status::Ok);
     dials.clock.at += c.kept;
@@ -213,7 +213,7 @@
     EXPECT_EQ(dials.end_of(id), Status::Ok);
     dials.clock.at += c.kept + c.kept / 10;
     while (dials.side.connections() > 0) event_base_loop(dials.base.get(), EVLOOP_ONCE);
-    EXPECT_TRUE(link.ends()) << c.routers;
+    EXPECT_TRUE(link.is_closed()) << c.routers;
   }
 }
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -28,7 +28,7 @@
   std::string ask(const std::string& response, bool reset = false) {
     std::string path;
     std::thread answerer([&] {
-      Link call = peer.accept();
+      TestConnection call = peer.accept();
       path = call.line();
       for (std::string header = call.line(); header.size() > 2;) header = call.line();
       // The router may end the connection before an answer without end is through.
@@ -132,7 +132,7 @@
   const std::string good = list_json(5, true, {host_json("s-1", "127.0.0.1:1")});
   Asked asked(parse_host_list(list_json(4, true, {host_json("s-1", "127.0.0.1:1")})));
   std::thread answerer([&] {
-    Link silent = asked.peer.accept(), second = asked.peer.accept();
+    TestConnection silent = asked.peer.accept(), second = asked.peer.accept();
     for (std::string line = second.line(); line.size() > 2;) line = second.line();
     std::string response = whole(good);
     ::send(second.fd(), response.data(), response.size(), MSG_NOSIGNAL);
@@ -156,20 +156,20 @@
   Asked asked(parse_host_list(list_json(4, true, {one})));
   std::thread answerer([&] {
     auto call = [&] {
-      Link link = asked.peer.accept();
+      TestConnection link = asked.peer.accept();
       for (std::string line = link.line(); line.size() > 2;) line = link.line();
       return link;
     };
     const std::string nothing = whole(list_json(4, false, {}));
     {
-      Link first = call();
+      TestConnection first = call();
       ::send(first.fd(), nothing.data(), nothing.size(), MSG_NOSIGNAL);
       char byte;
       (void)::recv(first.fd(), &byte, 1, 0);  // until the router has read it
     }
-    Link watch = call();
+    TestConnection watch = call();
     ::send(watch.fd(), good.data(), good.size() - 30, MSG_NOSIGNAL);
-    Link third = call();
+    TestConnection third = call();
     ::send(third.fd(), good.data(), good.size(), MSG_NOSIGNAL);
     char byte;
     (void)::recv(third.fd(), &byte, 1, 0);
@@ -192,7 +192,7 @@
   Asked asked(parse_host_list(list_json(4, true, {host_json("s-1", "127.0.0.1:1")})));
   std::atomic<bool> done{false};
   std::thread answerer([&] {
-    Link call = asked.peer.accept();
+    TestConnection call = asked.peer.accept();
     for (std::string line = call.line(); line.size() > 2;) line = call.line();
     ::send(call.fd(), good.data(), 40, MSG_NOSIGNAL);
     std::this_thread::sleep_for(std::chrono::milliseconds(2200));
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -19,7 +19,7 @@
   Micros now() const override { return at; }
 };
 
-/// What a test waits for has to come within kPatienceMs.
+/// What a test waits for has to come within kTestTimeoutMs.
 struct Patience {
   bool left() const {
     if (clock.now() < end) return true;
@@ -27,7 +27,7 @@
     return false;
   }
   Clock clock;
-  Micros end = clock.now() + kPatienceMs * kMillisecond;
+  Micros end = clock.now() + kTestTimeoutMs * kMillisecond;
 };
 
 /// A client side of its own on the test's thread and clock; the test carries attempts out.
@@ -73,14 +73,14 @@
       turn();
     }
   }
-  Link connect() {
+  TestConnection connect() {
     std::size_t before = side.connections();
-    Link link = Link::to(side.port());
+    TestConnection link = TestConnection::to(side.port());
     run_until([&] { return side.connections() > before; });
     return link;
   }
   /// A round trip, after which the client has asked and stands idle.
-  void greet(Link& link) {
+  void greet(TestConnection& link) {
     link.write("mn\r\n");
     run();
     EXPECT_EQ(link.line(), "MN\r\n");
@@ -119,7 +119,7 @@
   bool unwritten = false;
 };
 
-void expect_served(Link& link, const std::string& id) {
+void expect_served(TestConnection& link, const std::string& id) {
   EXPECT_EQ(link.line(), "VA 1 O" + id + "\r\n");
   EXPECT_EQ(link.line(), "v\r\n");
 }
@@ -137,11 +137,11 @@
                         {"idle, clients are sent away", true, true, 3 * kSecond}};
   for (const Case& c : cases) {
     Clients clients;
-    Link link = clients.connect();
+    TestConnection link = clients.connect();
     if (c.asked) {
       clients.greet(link);
     }
-    if (c.away) clients.side.send_away(true);
+    if (c.away) clients.side.set_operator_drain(true);
     clients.before_sweep([&] {
       clients.clock.at += c.later;
       link.write(get("r1"));
@@ -158,14 +158,14 @@
     ClientSide::Limits limits;
     limits.connections = 1, limits.spare_connections = 1;
     Clients clients(limits);
-    Link link = clients.connect();
+    TestConnection link = clients.connect();
     if (asked) {
       clients.greet(link);
     }
     clients.clock.at += kSecond;
-    Link other;
+    TestConnection other;
     clients.in_step([&] {
-      other = Link::to(clients.side.port());
+      other = TestConnection::to(clients.side.port());
       link.write(get("r1"));
     });
     clients.run();
@@ -181,16 +181,16 @@
   ClientSide::Limits limits;
   limits.connections = 2, limits.spare_connections = 2;
   Clients clients(limits);
-  Link first = clients.connect(), second = clients.connect();
-  for (Link* link : {&first, &second}) {
+  TestConnection first = clients.connect(), second = clients.connect();
+  for (TestConnection* link : {&first, &second}) {
     clients.greet(*link);
     clients.clock.at += kSecond;
   }
-  Link third = Link::to(clients.side.port());
-  clients.run_until([&] { return !first.silent(0); });
-  EXPECT_TRUE(first.ends());  // the oldest
+  TestConnection third = TestConnection::to(clients.side.port());
+  clients.run_until([&] { return !first.stays_silent(0); });
+  EXPECT_TRUE(first.is_closed());  // the oldest
   clients.run();
-  EXPECT_TRUE(second.silent(0));
+  EXPECT_TRUE(second.stays_silent(0));
   EXPECT_EQ(clients.side.connections(), 2u);
 }
 
@@ -199,15 +199,15 @@
   ClientSide::Limits limits;
   limits.connections = 1, limits.spare_connections = 0;
   Clients clients(limits);
-  Link half = clients.connect();
+  TestConnection half = clients.connect();
   half.write("mg ke");
   clients.run();
   clients.before_sweep([&] { clients.clock.at += 3 * kSecond; });
-  EXPECT_TRUE(half.ends());
+  EXPECT_TRUE(half.is_closed());
   clients.clock.at += 200 * kMillisecond;
-  Link other = Link::to(clients.side.port());
+  TestConnection other = TestConnection::to(clients.side.port());
   other.write("mn\r\n");
-  clients.run_until([&] { return !other.silent(0); });
+  clients.run_until([&] { return !other.stays_silent(0); });
   EXPECT_EQ(other.line(), "MN\r\n");
   EXPECT_EQ(clients.side.connections(), 1u);
 }
@@ -215,10 +215,10 @@
 // Clients are being sent away, the answer goes out, and the next request lies there already.
 TEST(Endings, ARequestBehindAnAnswerIsReadBeforeTheConnectionIsEnded) {
   Clients clients;
-  Link link = clients.connect();
+  TestConnection link = clients.connect();
   link.write(get("r1"));
   clients.run_until([&] { return clients.sent.size() == 1; });
-  clients.side.send_away(true);
+  clients.side.set_operator_drain(true);
   clients.clock.at += kSecond;
   clients.serve(0, "v");
   link.write(get("r2"));
@@ -228,17 +228,17 @@
   clients.run();
   expect_served(link, "r1");
   expect_served(link, "r2");
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
 }
 
 // Behind our shutdown nothing is sent on, and the client sees an end, no reset.
 TEST(Endings, WhatComesBehindTheShutdownIsReadAndDropped) {
   Clients clients;
-  Link link = clients.connect();
+  TestConnection link = clients.connect();
   clients.greet(link);
   clients.side.drain();
   clients.run();
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
   link.write(get("r1"));
   clients.run();
   EXPECT_TRUE(clients.sent.empty());
@@ -251,7 +251,7 @@
 // meanwhile was not taken, so that it is not lost when the process's time is over.
 TEST(Endings, OnceDrainingNoMoreIsTakenBehindWhatIsOut) {
   Clients clients;
-  Link link = clients.connect();
+  TestConnection link = clients.connect();
   link.write(get("r1"));
   clients.run_until([&] { return clients.sent.size() == 1; });
   clients.side.drain();
@@ -262,7 +262,7 @@
   clients.serve(0, "v");
   clients.run();
   expect_served(link, "r1");
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
   EXPECT_EQ(clients.sent.size(), 1u);
 }
 
@@ -276,7 +276,7 @@
     ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     auto address = parse_address("127.0.0.1:" + std::to_string(clients.side.port()));
     EXPECT_EQ(::connect(fd.get(), reinterpret_cast<sockaddr*>(&*address), sizeof *address), 0);
-    link = Link(std::move(fd));
+    link = TestConnection(std::move(fd));
     link.write(get("r1"));
     clients.run_until([&] { return clients.sent.size() == 1; });
     clients.serve(0, std::string(kMaxValue, 'v'));
@@ -285,9 +285,9 @@
   void expect_whole() {
     EXPECT_EQ(link.line(), "VA " + std::to_string(kMaxValue) + " Or1\r\n");
     EXPECT_TRUE(link.bytes(kMaxValue + 2) == std::string(kMaxValue, 'v') + "\r\n");
-    EXPECT_TRUE(link.ends());
+    EXPECT_TRUE(link.is_closed());
   }
-  Link link;
+  TestConnection link;
 };
 
 TEST(Endings, ALingeringConnectionStaysUntilItsTillHasTheAnswer) {
@@ -296,13 +296,13 @@
     limits.connections = 1, limits.spare_connections = 0;
     Clients clients(limits);
     SlowReader reader(clients);
-    if (room) clients.side.send_away(true), clients.clock.at += kSecond;
+    if (room) clients.side.set_operator_drain(true), clients.clock.at += kSecond;
     if (!room) clients.side.drain();
     clients.before_sweep([&] { clients.clock.at += kSecond; });
     clients.before_sweep([&] { clients.clock.at += kSecond; });
-    Link other;
+    TestConnection other;
     if (room) {
-      other = Link::to(clients.side.port());
+      other = TestConnection::to(clients.side.port());
       clients.run();
     }
     // Were the socket closed by now, this would be answered with a reset, which destroys the rest.
@@ -331,7 +331,7 @@
   clients->side.drain();
   clients->run();
   reader.link.write(get("r2"));
-  clients->side.end();
+  clients->side.shut_down();
   clients.reset();
   reader.expect_whole();
 }
@@ -342,7 +342,7 @@
 TEST(Endings, NothingMoreIsBegunForAClientThatSentMuchAndLeft) {
   for (bool reset : {false, true}) {
     Clients clients;
-    Link link = clients.connect();
+    TestConnection link = clients.connect();
     std::string many;
     for (int k = 0; k < 2000; ++k) many += get("m" + std::to_string(k));
     link.write(many);
@@ -363,12 +363,12 @@
 // refused, each in its place.
 TEST(Endings, AHalfClosedTillGetsWhatMayRunAndIsRefusedTheRest) {
   Clients clients;
-  Link link = clients.connect();
+  TestConnection link = clients.connect();
   std::string many;
   for (int k = 0; k < 40; ++k) many += get("h" + std::to_string(k));
   link.write(many);
   clients.run_until([&] { return clients.sent.size() == 32; });
-  link.end_sending();
+  link.shut_down_sending();
   clients.run_until([&] { return clients.core.module_stats().open_requests == 0; });
   clients.clock.at += 60 * kMillisecond;
   clients.run();
@@ -376,23 +376,23 @@
   clients.run();
   for (int k = 0; k < 32; ++k) expect_served(link, "h" + std::to_string(k));
   for (int k = 32; k < 40; ++k) EXPECT_EQ(link.line(), "SERVER_ERROR busy\r\n");
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
   EXPECT_EQ(clients.sent.size(), 32u);
 }
 
 TEST(Endings, AHalfClosedTillsUnwrittenAttemptIsTakenBackAndRefused) {
   Clients clients;
   clients.unwritten = true;
-  Link link = clients.connect();
+  TestConnection link = clients.connect();
   link.write(get("h1"));
   clients.run_until([&] { return clients.sent.size() == 1; });
-  link.end_sending();
+  link.shut_down_sending();
   clients.run_until([&] { return clients.core.module_stats().open_requests == 0; });
-  EXPECT_TRUE(link.silent(0));
+  EXPECT_TRUE(link.stays_silent(0));
   clients.clock.at += 60 * kMillisecond;
   clients.run();
   EXPECT_EQ(link.line(), "SERVER_ERROR busy\r\n");
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
   EXPECT_EQ(clients.core.open_requests(), 0u);
 }
 
@@ -412,7 +412,7 @@
   static ServerSide::Limits limits() {
     ServerSide::Limits l;
     l.per_server = 1;
-    l.dial_timeout = kPatienceMs * kMillisecond;
+    l.dial_timeout = kTestTimeoutMs * kMillisecond;
     return l;
   }
   void on_attempt_end(RequestId id, int, Status status, AttemptResult&&) override {
@@ -458,16 +458,16 @@
 struct FullBacklog {
   FullBacklog() {
     ::listen(peer.fd(), 0);
-    first = Link::to(static_cast<std::uint16_t>(
+    first = TestConnection::to(static_cast<std::uint16_t>(
         std::stoi(peer.address().substr(peer.address().rfind(':') + 1))));
   }
   /// The connection whose dial hung; it comes up with the system's next try.
-  Link let_in() {
+  TestConnection let_in() {
     peer.accept();
     return peer.accept();
   }
   Peer peer;
-  Link first;
+  TestConnection first;
 };
 
 TEST(Endings, AnAttemptTakenBackBehindADialIsNeverWritten) {
@@ -475,7 +475,7 @@
   Servers servers(server.peer.address());
   RequestId gone = servers.send();
   EXPECT_TRUE(servers.side.take_back("s-1", gone, 0));
-  Link link;
+  TestConnection link;
   std::thread late([&] { link = server.let_in(); });
   servers.run_until([&] { return servers.side.idle_connections() == 1; });
   late.join();
@@ -495,11 +495,11 @@
   servers.side.take_list(
       parse_host_list(list_json(2, false, {host_json("s-1", server.peer.address(), "leaving")})));
   EXPECT_EQ(servers.end_of(gone), Status::Moot);
-  Link link;
+  TestConnection link;
   std::thread late([&] { link = server.let_in(); });
   servers.run_until([&] { return servers.side.connections() == 0; });
   late.join();
-  EXPECT_TRUE(link.ends());
+  EXPECT_TRUE(link.is_closed());
 }
 
 // In front of it stands a value that the server does not take: nothing of the next goes out, and of
@@ -509,7 +509,7 @@
   Servers servers(server.address());
   RequestId large = servers.send(true, 32u << 20);
   servers.run_until([&] { return servers.side.connections() == 1; });
-  Link link = server.accept();
+  TestConnection link = server.accept();
   servers.run();
   RequestId behind = servers.send();
   EXPECT_TRUE(servers.side.take_back("s-1", behind, 0));
@@ -519,7 +519,7 @@
   EXPECT_EQ(servers.end_of(last), Status::ConnectFailed);
   EXPECT_EQ(servers.side.connections(), 0u);
   EXPECT_EQ(servers.side.counts().written, 0u);
-  EXPECT_LT(link.rest().size(), 32u << 20);
+  EXPECT_LT(link.read_to_end().size(), 32u << 20);
 }
 
 // Where others wait on the connection for what may run, the value goes on.
@@ -528,7 +528,7 @@
   Servers servers(server.address());
   RequestId first = servers.send();
   servers.written(1);
-  Link link = server.accept();
+  TestConnection link = server.accept();
   RequestId large = servers.send(true, 32u << 20);
   servers.run();
   EXPECT_FALSE(servers.side.take_back("s-1", large, 0));
@@ -555,14 +555,14 @@
     Servers servers(server.address());
     RequestId first = servers.send();
     servers.written(1);
-    Link link = server.accept();
+    TestConnection link = server.accept();
     link.line();
     RequestId second = neighbour ? servers.send() : 0;
     if (neighbour) servers.written(2);
     EXPECT_EQ(servers.side.end("s-1", first, 0),
               neighbour ? std::nullopt : std::optional(Status::Cancelled));
     if (!neighbour) {
-      EXPECT_TRUE(link.ends());
+      EXPECT_TRUE(link.is_closed());
       EXPECT_EQ(servers.ends.count(first), 0u);
       continue;
     }
@@ -593,7 +593,7 @@
     Servers servers(server.address());
     RequestId first = servers.send();
     servers.written(1);
-    Link link = server.accept();
+    TestConnection link = server.accept();
     link.line();
     RequestId second = 0;
     if (c.pipelined) {
@@ -619,7 +619,7 @@
     Servers servers(server.address(), binary);
     RequestId first = servers.send();
     servers.written(1);
-    Link link = server.accept();
+    TestConnection link = server.accept();
     std::string answer = value_answer("e1", "v");
     if (binary) {
       std::string packet = link.bytes(binary::kHeader + 3);
@@ -654,23 +654,23 @@
   config.sockets = 96;
   RunningRouter router(config);
   discovery.accept().send_reset();  // its first call; from here on it is down
-  std::vector<Link> tills;
+  std::vector<TestConnection> tills;
   for (int k = 0; k < 150; ++k) {
     tills.push_back(router.client());
     if (k % 2) continue;
     tills.back().write("mn\r\n");
     EXPECT_EQ(tills.back().line(), "MN\r\n");
   }
-  Link call = discovery.accept();  // made again, and it got its descriptor
+  TestConnection call = discovery.accept();  // made again, and it got its descriptor
   for (std::string header = call.line(); header.size() > 2;) header = call.line();
   std::string body = list_json(2, true, {host_json("s-9", fresh.address())});
   call.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
              body);
-  Link watch = discovery.accept();
+  TestConnection watch = discovery.accept();
   EXPECT_NE(watch.line().find("index=2"), std::string::npos);
-  Link till = router.client();
+  TestConnection till = router.client();
   till.write(get("n1"));
-  Link at_server = fresh.accept();
+  TestConnection at_server = fresh.accept();
   EXPECT_EQ(id_of(at_server.line()), "n1");
   at_server.write(value_answer("n1", "v"));
   expect_served(till, "n1");
@@ -682,15 +682,15 @@
   for (const char* said : {"", "VA 1", "VA 5 Ot1\r\nab"}) {
     Peer server;
     RunningRouter router(one_server(server));
-    Link till = router.client(), other = router.client();
+    TestConnection till = router.client(), other = router.client();
     till.write(get("t1", "300"));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     at_server.line();
     at_server.write(said);
     router.terminate();
     std::string answer = till.line();
     EXPECT_EQ(answer.substr(0, 13), "SERVER_ERROR ") << said;
-    EXPECT_TRUE(till.ends()) << said;
+    EXPECT_TRUE(till.is_closed()) << said;
     till.close(), other.close();
     router.wait_for_end();
   }
--- a/tests/operations/bulk_test.cpp
+++ b/tests/operations/bulk_test.cpp
@@ -33,9 +33,9 @@
 
 TEST_F(Bulk, TheFirstBytesOfALargeValueReachTheClientBeforeTheLastAreThere) {
   RunningRouter router(config());
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("a") + "mn\r\n");
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   std::string value = pattern(4 * kMiB), answer = value_answer("a", value);
   std::size_t head = answer.find('\n') + 1;
@@ -53,9 +53,9 @@
 
 TEST_F(Bulk, AClientThatDoesNotReadStopsTheServerAndLosesNothing) {
   RunningRouter router(config());
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("a"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   std::string answer = value_answer("a", pattern(4 * kMiB));
   ::fcntl(at_server.fd(), F_SETFL, O_NONBLOCK);
@@ -76,23 +76,23 @@
 TEST_F(Bulk, AValueThatIsCutOffEndsTheClientsConnection) {
   for (bool bad_end : {false, true}) {
     RunningRouter router(config());
-    Link client = router.client();
+    TestConnection client = router.client();
     client.write(get("a"));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     at_server.line();
     std::string answer = value_answer("a", pattern(100'000));
     if (bad_end) answer.replace(answer.size() - 2, 2, "xx");
     at_server.write(bad_end ? answer : answer.substr(0, 90'000));
     if (!bad_end) at_server.close();
-    EXPECT_LT(client.rest().size(), answer.size());
+    EXPECT_LT(client.read_to_end().size(), answer.size());
   }
 }
 
 TEST_F(Bulk, AClientThatLeavesAmidAValueCostsTheServersConnectionAndNoMore) {
   RunningRouter router(config());
-  Link client = router.client(), next = router.client();
+  TestConnection client = router.client(), next = router.client();
   client.write(get("a"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   at_server.write(value_answer("a", pattern(kMiB)).substr(0, 200'000));
   EXPECT_EQ(client.line(), "VA 1048576 Oa\r\n");
@@ -101,7 +101,7 @@
   while (::recv(at_server.fd(), &byte, 1, 0) > 0) {
   }  // the router's end, orderly or not
   next.write(get("b"));
-  Link again = server.accept();
+  TestConnection again = server.accept();
   EXPECT_EQ(id_of(again.line()), "b");
 }
 
@@ -110,17 +110,17 @@
   c.memory_mb = 8;  // room for one of them at a time
   RunningRouter router(c);
   std::string value = pattern(3 * kMiB);
-  std::vector<Link> clients;
+  std::vector<TestConnection> clients;
   for (int k = 0; k < 3; ++k) clients.push_back(router.client());
   std::vector<std::thread> writers;
   for (std::size_t k = 0; k < 3; ++k)
     writers.emplace_back([&, k] { clients[k].write(put("w" + std::to_string(k), value)); });
   for (int k = 0; k < 3; ++k) {
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     std::string id = id_of(at_server.line());
     EXPECT_TRUE(at_server.bytes(value.size()) == value);
     EXPECT_EQ(at_server.line(), "\r\n");
-    EXPECT_TRUE(server.nobody_comes(50));  // the others wait
+    EXPECT_TRUE(server.no_connection_within(50));  // the others wait
     at_server.write("HD O" + id + " c1\r\n");
     EXPECT_EQ(clients[static_cast<std::size_t>(id[1] - '0')].line(), "HD O" + id + " c1\r\n");
   }
@@ -132,16 +132,16 @@
   ConfigText c = config();
   c.hosts.push_back(host_json("s-2", other.address()));
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string value = pattern(kMiB);
   std::thread writer([&] { client.write(put("a", value)); });
   Peer* peers[] = {&server, &other};
-  std::size_t first = first_called({&server, &other});
-  Link at_first = peers[first]->accept();
+  std::size_t first = first_contacted({&server, &other});
+  TestConnection at_first = peers[first]->accept();
   at_first.line();
   at_first.bytes(value.size() + 2);
   at_first.write("SERVER_ERROR busy\r\n");
-  Link at_second = peers[1 - first]->accept();
+  TestConnection at_second = peers[1 - first]->accept();
   at_second.line();
   EXPECT_TRUE(at_second.bytes(value.size()) == value);
   at_second.write("HD Oa c1\r\n");
@@ -153,13 +153,13 @@
   ConfigText c = config();
   c.binary = R"({"clients":true,"read_class":"read","write_class":"pay"})";
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string command(
       "\x80\x00\x00\x03\x00\x00\x00\x00\x00\x00\x00\x03\x00\x00\x00\x07"
       "\x00\x00\x00\x00\x00\x00\x00\x00key",
       27);
   client.write(command);
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   std::string id = id_of(at_server.line()), value = pattern(kMiB);
   at_server.write(value_answer(id, value, " f5"));
   std::string header = client.bytes(28);
--- a/tests/operations/control_test.cpp
+++ b/tests/operations/control_test.cpp
@@ -30,7 +30,7 @@
 };
 
 /// Who serves each of forty keys.
-std::string served_by(Link& client, const std::string& round) {
+std::string served_by(TestConnection& client, const std::string& round) {
   std::string by;
   for (int k = 0; k < 40; ++k) {
     client.write(get(round + std::to_string(k), "key" + std::to_string(k)));
@@ -44,7 +44,7 @@
   TwoServers servers;
   RunningRouter router(servers.config());
   EXPECT_TRUE(yes(router.control("GET", "/-/ready")));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string before = served_by(client, "before");
   ASSERT_NE(before.find('a'), before.npos);
   EXPECT_TRUE(yes(router.control("PUT", "/-/cache-servers/s-a/disable")));
@@ -68,7 +68,7 @@
   c.hosts = {host_json("s-1", server.address())};
   c.control = "127.0.0.1:0";
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   for (int k = 0; k < 5; ++k) {
     client.write(get("r" + std::to_string(k), "good"));
     client.line(), client.line();
@@ -93,7 +93,7 @@
   config.mode = "automatic";
   config.discovery = discovery.address();
   RunningRouter router(config);
-  answer_call(discovery, http(list_json(5, false, {})));
+  answer_next_call(discovery, http(list_json(5, false, {})));
   auto says_old = [&] {
     return router.control("GET", "/-/ready").find("may be old") != std::string::npos;
   };
@@ -102,31 +102,31 @@
   router.reload(config.text());
   while (!says_old()) std::this_thread::yield();
   EXPECT_TRUE(yes(router.control("GET", "/-/ready")));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("o1", "key"));
   EXPECT_EQ(client.line().substr(0, 3), "VA ");
   config.discovery = next.address();
   router.reload(config.text());
-  answer_call(next, http(list_json(1, true, {host_json("s-1", "127.0.0.1:1")})));
+  answer_next_call(next, http(list_json(1, true, {host_json("s-1", "127.0.0.1:1")})));
   while (says_old()) std::this_thread::yield();
 }
 
 TEST(Control, CallersWhoHoldTheirConnectionsKeepNobodyOut) {
   TwoServers servers;
   RunningRouter router(servers.config());
-  std::vector<Link> holders;
+  std::vector<TestConnection> holders;
   for (std::size_t k = 0; k < 3 * Control::kMostConnections; ++k) {
-    holders.push_back(Link::to(router.control_port()));
+    holders.push_back(TestConnection::to(router.control_port()));
     holders.back().write("GET /-/re");
   }
   EXPECT_TRUE(yes(router.control("GET", "/-/ready")));
-  EXPECT_TRUE(holders.front().ends());  // the oldest made way
+  EXPECT_TRUE(holders.front().is_closed());  // the oldest made way
 }
 
 TEST(Control, ADrainedRouterSaysNoSendsItsClientsAwayServesThemMeanwhileAndComesBack) {
   TwoServers servers;
   RunningRouter router(servers.config());
-  Link idle = router.client(), client = router.client();
+  TestConnection idle = router.client(), client = router.client();
   idle.write("mn\r\n");
   EXPECT_EQ(idle.line(), "MN\r\n");
   EXPECT_TRUE(yes(router.control("PUT", "/-/drain")));
@@ -135,17 +135,17 @@
   client.write(get("d1", "key"));
   EXPECT_EQ(client.line().substr(0, 3), "VA ");
   EXPECT_FALSE(yes(router.control("GET", "/-/ready")));
-  EXPECT_TRUE(idle.ends());
+  EXPECT_TRUE(idle.is_closed());
   client.line();
-  EXPECT_TRUE(client.ends());
-  Link late = router.client();  // whoever comes all the same is served, once
+  EXPECT_TRUE(client.is_closed());
+  TestConnection late = router.client();  // whoever comes all the same is served, once
   late.write(get("d2", "key"));
   EXPECT_EQ(late.line().substr(0, 3), "VA ");
   late.line();
-  EXPECT_TRUE(late.ends());
+  EXPECT_TRUE(late.is_closed());
   EXPECT_TRUE(yes(router.control("PUT", "/-/resume")));
   EXPECT_TRUE(yes(router.control("GET", "/-/ready")));
-  Link again = router.client();
+  TestConnection again = router.client();
   for (int k = 0; k < 2; ++k) {
     again.write("mn\r\n");
     EXPECT_EQ(again.line(), "MN\r\n");
--- a/tests/operations/handover_test.cpp
+++ b/tests/operations/handover_test.cpp
@@ -20,7 +20,7 @@
     c.state_dir = folder.path();
     return c;
   }
-  static void served(Link& client, const std::string& id) {
+  static void served(TestConnection& client, const std::string& id) {
     client.write(get(id));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
@@ -32,7 +32,7 @@
 
 TEST_F(HandoverTest, ConnectionsBetweenRequestsGoOverAndStayOpen) {
   RunningRouter old_one(config());
-  std::vector<Link> clients;
+  std::vector<TestConnection> clients;
   for (int k = 0; k < 40; ++k) {
     clients.push_back(old_one.client());
     if (k % 2) served(clients.back(), "a" + std::to_string(k));
@@ -46,7 +46,7 @@
   for (std::size_t k = 0; k < clients.size(); ++k) served(clients[k], "b" + std::to_string(k));
   old_one.wait_for_end();
   for (std::size_t k = 0; k < clients.size(); ++k) served(clients[k], "c" + std::to_string(k));
-  Link fresh = new_one.client();
+  TestConnection fresh = new_one.client();
   served(fresh, "d");
   // The next one takes over from this one.
   RunningRouter third(c);
@@ -73,14 +73,15 @@
   ConfigText c = config();
   c.hosts = {host_json("s-1", slow.address())};
   RunningRouter old_one(c);
-  Link client = old_one.client();
+  TestConnection client = old_one.client();
   client.write(get("a"));
-  Link at_server = slow.accept();
+  TestConnection at_server = slow.accept();
   EXPECT_EQ(id_of(at_server.line()), "a");
   RunningRouter new_one(c);
   ASSERT_TRUE(ready(new_one));
   old_one.terminate();
-  Link fresh = new_one.client();  // accepted by the new one while the old one still has work
+  TestConnection fresh =
+      new_one.client();  // accepted by the new one while the old one still has work
   fresh.write("mn\r\n");
   EXPECT_EQ(fresh.line(), "MN\r\n");
   at_server.write(value_answer("a", "v"));
@@ -88,7 +89,7 @@
   client.line();
   old_one.wait_for_end();
   client.write(get("b"));
-  Link again = slow.accept();
+  TestConnection again = slow.accept();
   EXPECT_EQ(id_of(again.line()), "b");
 }
 
@@ -117,7 +118,7 @@
     RunningRouter new_one(config());
     ASSERT_TRUE(ready(new_one));
   }
-  Link client = old_one.client();
+  TestConnection client = old_one.client();
   served(client, "a");
 }
 
--- a/tests/rig/rig_test.cpp
+++ b/tests/rig/rig_test.cpp
@@ -11,7 +11,7 @@
 namespace arrowfork::rig {
 namespace {
 
-using test::Link;
+using test::TestConnection;
 
 TEST(RigOrigin, SeesWritesThatRunTwiceAndDropsRepeatsByTheirKey) {
   Origin origin;
@@ -35,7 +35,7 @@
   }
   /// What comes for `bytes` until the server has nothing more to say.
   std::string ask(const std::string& bytes, bool* ended = nullptr) {
-    Link link = Link::to(server_->port());
+    TestConnection link = TestConnection::to(server_->port());
     link.write(bytes);
     std::string all;
     bool end = false;
@@ -192,8 +192,8 @@
   /// What comes for one call within a while.
   auto call = [&](const std::string& query) {
     std::string address = discovery.address();
-    Link link =
-        Link::to(static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1))));
+    TestConnection link = TestConnection::to(
+        static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1))));
     link.write("GET /discovery/hosts" + query +
                " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     std::string all;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -25,9 +25,9 @@
 TEST(Router, AReadGoesOnUnchangedButForTheWaitAndItsValueComesBack) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("a1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   std::string line = at_server.line();
   std::size_t d = line.find(",d=");
   ASSERT_NE(d, line.npos) << line;
@@ -44,10 +44,10 @@
 TEST(Router, AWriteGoesOnWithItsValueAndItsReceiptComesBack) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string command = put("b1", "hello");
   for (char c : command) client.write(std::string_view(&c, 1));  // a slow writer
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   std::string line = at_server.line();
   EXPECT_EQ(line.substr(0, 29), "ms key 5 Ob1 Pc=put,t=acme,d=") << line;
   EXPECT_EQ(line.substr(line.find(",k=")), ",k=77\r\n");
@@ -59,7 +59,7 @@
 TEST(Router, NoopAndBadInputAreAnsweredAndHarmNoOtherConnection) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client(), other = router.client();
+  TestConnection client = router.client(), other = router.client();
   client.write("mn\r\nget a\r\nmg \r\nms k 3 O1\r\nabc\r\nmn\r\n");
   EXPECT_EQ(client.line(), "MN\r\n");
   EXPECT_EQ(client.line(), "ERROR\r\n");
@@ -68,11 +68,11 @@
   EXPECT_EQ(client.line(), "MN\r\n");
   client.write("ms k many O1 Pc=put\r\n");
   EXPECT_EQ(client.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(client.ends());
-  Link endless = router.client();
+  EXPECT_TRUE(client.is_closed());
+  TestConnection endless = router.client();
   endless.write(std::string(kMaxLine + 1, 'x'));
   EXPECT_EQ(endless.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(endless.ends());
+  EXPECT_TRUE(endless.is_closed());
   other.write("mn\r\n");
   EXPECT_EQ(other.line(), "MN\r\n");
 }
@@ -80,15 +80,15 @@
 TEST(Router, PipelinedCommandsAreAnsweredInTheirOrder) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("c1") + "mn\r\n" + get("c2", "other"));
-  Link first = server.accept(), second = server.accept();
+  TestConnection first = server.accept(), second = server.accept();
   std::string id = id_of(first.line());
   if (id == "c2") std::swap(first, second), id = id_of(first.line());
   ASSERT_EQ(id, "c1");
   ASSERT_EQ(id_of(second.line()), "c2");
   second.write(value_answer("c2", "two"));
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   first.write(value_answer("c1", "one"));
   EXPECT_EQ(client.line(), "VA 3 Oc1\r\n");
   EXPECT_EQ(client.line(), "one\r\n");
@@ -100,9 +100,9 @@
 TEST(Router, AConnectionIsUsedAgain) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("d1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   for (std::string id : {"d1", "d2", "d3"}) {
     if (id != "d1") client.write(get(id));
     EXPECT_EQ(id_of(at_server.line()), id);
@@ -110,7 +110,7 @@
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
   }
-  EXPECT_TRUE(server.nobody_comes(0));
+  EXPECT_TRUE(server.no_connection_within(0));
 }
 
 /// Two servers; the client's read reaches one, which `spoils` its attempt.
@@ -121,13 +121,13 @@
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
     client_.write(command);
-    std::size_t who = first_called({&a_, &b_});
+    std::size_t who = first_contacted({&a_, &b_});
     hit_ = who == 0 ? &a_ : &b_;
     spare_ = who == 0 ? &b_ : &a_;
     link_ = hit_->accept();
   }
   void expect_retry(const std::string& id) {
-    Link second = spare_->accept();
+    TestConnection second = spare_->accept();
     EXPECT_EQ(id_of(second.line()), id);
     second.write(value_answer(id, "fine"));
     EXPECT_EQ(client_.line(), "VA 4 O" + id + "\r\n");
@@ -136,7 +136,7 @@
   Peer a_, b_;
   ConfigText config_;
   std::unique_ptr<RunningRouter> router_;
-  Link client_, link_;
+  TestConnection client_, link_;
   Peer* hit_ = nullptr;
   Peer* spare_ = nullptr;
 };
@@ -162,7 +162,7 @@
   link_.line();
   link_.write("VA 5 Oe9 h1\r\nhel");
   expect_retry("e9");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(Spoiled, GarbageEndsTheConnection) {
@@ -170,7 +170,7 @@
   link_.line();
   link_.write("HTTP/1.1 200 OK\r\n");
   expect_retry("e3");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(Spoiled, AnAnswerToAnotherRequestEndsTheConnection) {
@@ -178,7 +178,7 @@
   link_.line();
   link_.write(value_answer("e5", "wrong"));
   expect_retry("e4");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(Spoiled, AnUnaskedAnswerEndsTheConnection) {
@@ -187,8 +187,8 @@
   link_.write(value_answer("e6", "good") + value_answer("e6", "again"));
   EXPECT_EQ(client_.line(), "VA 4 Oe6\r\n");
   EXPECT_EQ(client_.line(), "good\r\n");
-  EXPECT_TRUE(link_.ends());
-  EXPECT_TRUE(client_.silent(50));
+  EXPECT_TRUE(link_.is_closed());
+  EXPECT_TRUE(client_.stays_silent(50));
 }
 
 TEST_F(Spoiled, BusyIsRetriedElsewhereAndTheConnectionKept) {
@@ -196,7 +196,7 @@
   link_.line();
   link_.write("SERVER_ERROR busy Lload_share=1,mean_ms=9,x0=0.5\r\n");
   expect_retry("e7");
-  EXPECT_TRUE(link_.silent(50));
+  EXPECT_TRUE(link_.stays_silent(50));
 }
 
 TEST_F(Spoiled, AWriteThatMustNotRunTwiceFailsWhenItMayHaveRun) {
@@ -205,7 +205,7 @@
   link_.send_reset();
   std::string answer = client_.line();
   EXPECT_EQ(answer, "SERVER_ERROR failed\r\n");  // busy would say that it never ran
-  EXPECT_TRUE(spare_->nobody_comes(100));
+  EXPECT_TRUE(spare_->no_connection_within(100));
 }
 
 TEST(Router, ARefusedConnectIsRetriedElsewhereAlsoForAWriteThatMustNotRunTwice) {
@@ -214,11 +214,11 @@
   config.hosts = {host_json("s-1", gone.address()), host_json("s-2", server.address())};
   gone.close();
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   for (int k = 0; k < 4; ++k) {  // some of these keys have their home at the dead one
     std::string id = "f" + std::to_string(k);
     client.write(put(id, "x", "pay"));
-    static thread_local Link at_server;
+    static thread_local TestConnection at_server;
     if (k == 0) at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     EXPECT_EQ(at_server.bytes(3), "x\r\n");
@@ -230,7 +230,7 @@
 TEST(Router, WithNoServerARequestIsRefusedAndToldWhenToComeAgain) {
   ConfigText config;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("g1"));
   std::string line = client.line();
   ASSERT_EQ(line.substr(0, 18), "SERVER_ERROR busy ");
@@ -243,12 +243,12 @@
 TEST(Router, ASilentServersRequestIsAnsweredInTimeAndItsAttemptGivenUp) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("h1", "key", "120"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
-  EXPECT_TRUE(at_server.ends());  // so that the server may drop it
+  EXPECT_TRUE(at_server.is_closed());  // so that the server may drop it
 }
 
 TEST(Router, WhereNothingCanBeCancelledALateAnswerIsDroppedAndItsConnectionKept) {
@@ -256,13 +256,13 @@
   ConfigText config = one_server(server);
   config.may_cancel = false;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("h2", "key", "120"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
   at_server.write(value_answer("h2", "late"));
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   client.write(get("h3"));
   EXPECT_EQ(id_of(at_server.line()), "h3");  // the connection is whole and used again
   at_server.write(value_answer("h3", "good"));
@@ -272,16 +272,16 @@
 TEST(Router, AHalfClosedClientStillGetsItsAnswer) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("i1"));
-  client.end_sending();
-  Link at_server = server.accept();
+  client.shut_down_sending();
+  TestConnection at_server = server.accept();
   at_server.line();
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   at_server.write(value_answer("i1", "good"));
   EXPECT_EQ(client.line(), "VA 4 Oi1\r\n");
   EXPECT_EQ(client.line(), "good\r\n");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.is_closed());
 }
 
 TEST(Router, NothingNewIsSentForAClientThatHasLeft) {
@@ -289,30 +289,30 @@
   ConfigText config;
   config.hosts = {host_json("s-1", a.address()), host_json("s-2", b.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("j1"));
-  Peer* hit = first_called({&a, &b}) == 0 ? &a : &b;
-  Link at_server = hit->accept();
+  Peer* hit = first_contacted({&a, &b}) == 0 ? &a : &b;
+  TestConnection at_server = hit->accept();
   at_server.line();
   client.close();
   // A second client's round trip: by then the router has seen the close.
-  Link other = router.client();
+  TestConnection other = router.client();
   other.write("mn\r\n");
   EXPECT_EQ(other.line(), "MN\r\n");
   at_server.send_reset();
-  EXPECT_TRUE((hit == &a ? b : a).nobody_comes(100));
+  EXPECT_TRUE((hit == &a ? b : a).no_connection_within(100));
 }
 
 TEST(Router, TheLargestValuePassesBothWays) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string value(kMaxValue, '\0');
   for (std::size_t k = 0; k < value.size(); ++k)
     value[k] = static_cast<char>(k * 2654435761u >> 13);
   std::string command = put("k1", value);
   std::thread writer([&] { client.write(command); });
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "k1");
   EXPECT_TRUE(at_server.bytes(value.size()) == value);
   EXPECT_EQ(at_server.bytes(2), "\r\n");
@@ -334,13 +334,13 @@
   ConfigText config = one_server(server);
   config.keepalive_us = 1'000'000;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("m1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   at_server.write(value_answer("m1", "v"));
   EXPECT_EQ(client.line(), "VA 1 Om1\r\n");
-  EXPECT_TRUE(at_server.ends());
+  EXPECT_TRUE(at_server.is_closed());
 }
 
 // By the settings alone an idle connection would stay for 36 s. A reset counts as the answer to the
@@ -353,14 +353,14 @@
   bool learned = false;
   for (int round = 0; round < 8 && !learned; ++round) {
     std::string id = "x" + std::to_string(round);
-    Link client = router.client();
+    TestConnection client = router.client();
     client.write(get(id, id));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     at_server.write(value_answer(id, "v"));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
-    learned = !at_server.silent(800);
+    learned = !at_server.stays_silent(800);
     if (learned) break;
     client.write(get(id + "b", id));
     EXPECT_EQ(id_of(at_server.line()), id + "b");
@@ -375,22 +375,22 @@
 TEST(Router, EndsOfIdleConnectionsThatShowTeachNoIdleTime) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   for (int k = 0; k < 3; ++k) {
     std::string id = "y" + std::to_string(k);
     client.write(get(id));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     at_server.write(value_answer(id, "v"));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
   }
   client.write(get("y8"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   at_server.write(value_answer("y8", "v"));
   client.line(), client.line();
-  EXPECT_TRUE(at_server.silent(300));
+  EXPECT_TRUE(at_server.stays_silent(300));
   client.write(get("y9"));
   EXPECT_EQ(id_of(at_server.line()), "y9");  // on the same connection
 }
@@ -400,7 +400,7 @@
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
-  std::vector<Link> clients, at_server;
+  std::vector<TestConnection> clients, at_server;
   for (int k = 0; k < 12; ++k) {
     clients.push_back(router.client());
     clients.back().write(get("w" + std::to_string(k), "key" + std::to_string(k)));
@@ -419,13 +419,13 @@
   ConfigText config = one_server(server);
   config.routers = 60;  // leaves one connection to a server
   RunningRouter router(config);
-  Link one = router.client(), two = router.client();
+  TestConnection one = router.client(), two = router.client();
   one.write(get("n1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "n1");
   two.write(get("n2", "other"));
   EXPECT_EQ(id_of(at_server.line()), "n2");
-  EXPECT_TRUE(server.nobody_comes(50));
+  EXPECT_TRUE(server.no_connection_within(50));
   at_server.write(value_answer("n1", "1") + value_answer("n2", "2"));
   EXPECT_EQ(one.line(), "VA 1 On1\r\n");
   EXPECT_EQ(two.line(), "VA 1 On2\r\n");
@@ -436,16 +436,16 @@
   ConfigText config = one_server(server);
   config.routers = 60;
   RunningRouter router(config);
-  Link one = router.client(), two = router.client();
+  TestConnection one = router.client(), two = router.client();
   one.write(get("o1", "key", "200"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   two.write(get("o2", "other"));
   EXPECT_EQ(id_of(at_server.line()), "o2");
   EXPECT_EQ(one.line().substr(0, 12), "SERVER_ERROR");  // its time is up, the attempt cancelled
   at_server.write(value_answer("o1", "late") + value_answer("o2", "good"));
   EXPECT_EQ(two.line(), "VA 4 Oo2\r\n");
-  EXPECT_TRUE(one.silent(50));
+  EXPECT_TRUE(one.stays_silent(50));
 }
 
 // ---- discovery ----
@@ -457,20 +457,20 @@
   config.discovery = discovery.address();
   config.hosts = {host_json("s-1", before.address())};
   RunningRouter router(config);
-  EXPECT_EQ(answer_call(discovery, http(list_json(5, false, {}))).substr(0, 36),
+  EXPECT_EQ(answer_next_call(discovery, http(list_json(5, false, {}))).substr(0, 36),
             "GET /discovery/hosts?index=1&wait=1 ");
   std::string change = list_json(
       6, false,
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address(), "active")});
-  EXPECT_EQ(answer_call(discovery, http(change)).substr(0, 39),
+  EXPECT_EQ(answer_next_call(discovery, http(change)).substr(0, 39),
             "GET /discovery/hosts?index=5&wait=2000 ");
-  Link watch = discovery.accept();  // the next call has begun, so the change is in force
+  TestConnection watch = discovery.accept();  // the next call has begun, so the change is in force
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=6&wait");
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("p1"));
-  Link at_server = after.accept();
+  TestConnection at_server = after.accept();
   EXPECT_EQ(id_of(at_server.line()), "p1");
-  EXPECT_TRUE(before.nobody_comes(0));
+  EXPECT_TRUE(before.no_connection_within(0));
 }
 
 TEST(Discovery, WhatIsNoListLeavesTheOldOneInForce) {
@@ -479,13 +479,13 @@
   config.mode = "automatic";
   config.discovery = discovery.address();
   RunningRouter router(config);
-  answer_call(discovery, http("{\"seq\":5,\"whole\":true}"));
-  answer_call(discovery, http("not json"));
-  answer_call(discovery, http("{}", "503 Service Unavailable"));
-  Link again = discovery.accept();
-  Link client = router.client();
+  answer_next_call(discovery, http("{\"seq\":5,\"whole\":true}"));
+  answer_next_call(discovery, http("not json"));
+  answer_next_call(discovery, http("{}", "503 Service Unavailable"));
+  TestConnection again = discovery.accept();
+  TestConnection client = router.client();
   client.write(get("q1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "q1");
 }
 
@@ -498,24 +498,24 @@
   config.discovery = old_one.address();
   config.hosts = {host_json("s-1", before.address())};
   RunningRouter router(config);
-  answer_call(old_one, http(list_json(5, false, {})));
-  Link old_watch = old_one.accept();
+  answer_next_call(old_one, http(list_json(5, false, {})));
+  TestConnection old_watch = old_one.accept();
   EXPECT_EQ(old_watch.line().substr(0, 33), "GET /discovery/hosts?index=5&wait");
   for (std::string header = old_watch.line(); header.size() > 2;) header = old_watch.line();
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("R1"));
-  Link at_server = before.accept();
+  TestConnection at_server = before.accept();
   EXPECT_EQ(id_of(at_server.line()), "R1");
 
   config.discovery = new_one.address();
   router.reload(config.text());
-  Link call = new_one.accept();
+  TestConnection call = new_one.accept();
   EXPECT_EQ(call.line(), "GET /discovery/hosts HTTP/1.1\r\n");
   // Before the new one answers, the old watch tells a drain: the list under way may be older.
   old_watch.write(http(list_json(
       6, false,
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address())})));
-  Link again = new_one.accept();
+  TestConnection again = new_one.accept();
   EXPECT_EQ(again.line(), "GET /discovery/hosts HTTP/1.1\r\n");
   // The list that was under way knows nothing of the drain, and must not undo it.
   std::string stale = http(list_json(1, true, {host_json("s-1", before.address())}));
@@ -523,14 +523,14 @@
   char rest[1024];
   while (::recv(call.fd(), rest, sizeof rest, 0) > 0) {
   }
-  Link other = router.client();
+  TestConnection other = router.client();
   other.write(get("R2"));
-  Link at_new = after.accept();
+  TestConnection at_new = after.accept();
   EXPECT_EQ(id_of(at_new.line()), "R2");
   again.write(http(list_json(2, true, {host_json("s-2", after.address())})));
-  Link watch = new_one.accept();
+  TestConnection watch = new_one.accept();
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=2&wait");
-  EXPECT_TRUE(old_one.nobody_comes(0));
+  EXPECT_TRUE(old_one.no_connection_within(0));
   at_server.write(value_answer("R1", "good"));  // its connection and its request went on
   EXPECT_EQ(client.line(), "VA 4 OR1\r\n");
   at_new.write(value_answer("R2", "good"));
@@ -543,13 +543,13 @@
   config.mode = "automatic";
   config.discovery = old_one.address();
   RunningRouter router(config);
-  answer_call(old_one, http(list_json(5, false, {})));
+  answer_next_call(old_one, http(list_json(5, false, {})));
   config.discovery = new_one.address();
   router.reload(config.text());
-  answer_call(new_one, http("", "503 Service Unavailable"));
-  EXPECT_EQ(answer_call(new_one, http(list_json(7, true, {}))),
+  answer_next_call(new_one, http("", "503 Service Unavailable"));
+  EXPECT_EQ(answer_next_call(new_one, http(list_json(7, true, {}))),
             "GET /discovery/hosts HTTP/1.1\r\n");
-  EXPECT_EQ(answer_call(new_one, http(list_json(7, false, {}))).substr(0, 33),
+  EXPECT_EQ(answer_next_call(new_one, http(list_json(7, false, {}))).substr(0, 33),
             "GET /discovery/hosts?index=7&wait");
 }
 
@@ -557,13 +557,13 @@
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string half = config.text().substr(0, 300);
   config.discovery = "nowhere";
   for (const std::string& text : {half, std::string(), std::string("[]"), config.text()})
     router.reload(text);
   client.write(get("R3"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "R3");
   at_server.write(value_answer("R3", "good"));
   EXPECT_EQ(client.line(), "VA 4 OR3\r\n");
@@ -574,16 +574,16 @@
 TEST(BadClient, WhatOnlyTheRouterKnowsIsCheckedBeforeItIsPassedOn) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link bad = router.client(), good = router.client();
+  TestConnection bad = router.client(), good = router.client();
   bad.write("mg key v OB1 Pc=nosuch,t=acme,d=480\r\n");
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   bad.write("ms key 1 OB2 Pc=put,t=acme,d=480\r\nx\r\n");  // a keyed class without its key
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   bad.write("mg key v OB3 Pc=put,t=acme,d=480,k=77\r\n");  // a keyed class that reads
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(server.nobody_comes(0));
+  EXPECT_TRUE(server.no_connection_within(0));
   good.write(get("B4"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "B4");
   bad.write(get("B4"));  // another client's, while it is open and right after
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
@@ -592,18 +592,18 @@
   EXPECT_EQ(good.line(), "good\r\n");
   bad.write(get("B4"));
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(at_server.silent(0));
+  EXPECT_TRUE(at_server.stays_silent(0));
 }
 
 TEST(BadClient, OneThatSaysNothingOrHalfACommandIsClosed) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link silent = router.client(), half = router.client(), value = router.client();
+  TestConnection silent = router.client(), half = router.client(), value = router.client();
   half.write("mg key v OB5 Pc=re");
   value.write("ms key 60000 OB6 Pc=put,t=acme,d=480,k=77\r\nabc");
-  EXPECT_TRUE(silent.ends());
-  EXPECT_TRUE(half.ends());
-  EXPECT_TRUE(value.ends());
+  EXPECT_TRUE(silent.is_closed());
+  EXPECT_TRUE(half.is_closed());
+  EXPECT_TRUE(value.is_closed());
 }
 
 TEST(BadClient, SilentConnectionsDoNotKeepOthersOut) {
@@ -611,18 +611,18 @@
   ConfigText config = one_server(server);
   config.sockets = 64;
   RunningRouter router(config);
-  std::vector<Link> silent;
+  std::vector<TestConnection> silent;
   for (int k = 0; k < 60; ++k) silent.push_back(router.client());
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("B7"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "B7");
 }
 
 TEST(BadClient, ManyCommandsAtOnceAreAllAnsweredInOrder) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string many;
   for (int k = 0; k < 500; ++k) many += k % 2 ? "mn\r\n" : "nonsense\r\n";
   client.write(many);
@@ -635,7 +635,7 @@
   link_.write(value_answer("S1", "good") + "VA 9");  // the beginning of something
   EXPECT_EQ(client_.line(), "VA 4 OS1\r\n");
   EXPECT_EQ(client_.line(), "good\r\n");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
 TEST_F(Spoiled, AnAnswerThatTricklesDoesNotKeepItsConnectionForGood) {
@@ -644,7 +644,7 @@
   bool ended = false;
   for (int k = 0; k < 2000 && !ended; ++k) {  // 20 s of it at most
     if (::send(link_.fd(), "x", 1, MSG_NOSIGNAL) != 1) ended = true;
-    ended = ended || !link_.silent(10);
+    ended = ended || !link_.stays_silent(10);
   }
   EXPECT_TRUE(ended);
 }
@@ -661,7 +661,7 @@
   c.hosts = {host_json("s-1", first.address()), host_json("s-2", second.address()),
              host_json("s-3", bad.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   int unserved = 0;
   for (int k = 0; k < 600; ++k) {
     if (k == 300) asked = 0, unserved = 0;
@@ -695,7 +695,7 @@
   c.hosts = {host_json("s-1", first.address()), host_json("s-2", second.address()),
              host_json("s-3", third.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   int unserved = 0;
   for (int k = 0; k < 500; ++k) {
     client.write(get("p" + std::to_string(k), "key" + std::to_string(k)));
@@ -714,7 +714,7 @@
   config.sockets = 64;  // of them 13 for servers
   config.may_cancel = false;
   RunningRouter router(config);
-  std::vector<Link> clients, silent;
+  std::vector<TestConnection> clients, silent;
   for (int k = 0; k < 13; ++k) {
     std::string id = "V" + std::to_string(k);
     clients.push_back(router.client());
@@ -722,13 +722,13 @@
     silent.push_back(server.accept());
     EXPECT_EQ(id_of(silent.back().line()), id);
   }
-  for (Link& client : clients) EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
+  for (TestConnection& client : clients) EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
   bool reached = false;
   for (int k = 0; k < 40 && !reached; ++k) {  // the door may be shut to some keys by now
     std::string id = "W" + std::to_string(k);
     clients[0].write(get(id, id));
     std::vector<pollfd> fds = {{server.fd(), POLLIN, 0}, {clients[0].fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(fds.data(), fds.size(), kPatienceMs), 0);
+    ASSERT_GT(::poll(fds.data(), fds.size(), kTestTimeoutMs), 0);
     reached = fds[0].revents != 0;
     if (!reached) {
       EXPECT_EQ(clients[0].line().substr(0, 12), "SERVER_ERROR");
@@ -783,7 +783,7 @@
   EXPECT_EQ(storm.ends[Status::Moot], 100 - static_cast<int>(2 * pool));
   EXPECT_EQ(storm.ends[Status::ConnectFailed], 0) << "that would be held against the server";
   // Its answers come after all: the connections are used again.
-  std::vector<Link> links;
+  std::vector<TestConnection> links;
   for (std::size_t k = 0; k < 2 * pool; ++k) links.push_back(server.accept());
   for (std::size_t k = pool; k < links.size(); ++k)
     links[k].write(value_answer(id_of(links[k].line()), "late"));
@@ -817,21 +817,21 @@
   config.mode = "automatic";
   config.discovery = discovery.address();
   RunningRouter router(config);
-  answer_call(discovery, http(list_json(5, false, {})));
-  Link watch = discovery.accept();
+  answer_next_call(discovery, http(list_json(5, false, {})));
+  TestConnection watch = discovery.accept();
   for (std::string header = watch.line(); header.size() > 2;) header = watch.line();
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("U1"));
-  Link old_one = server.accept();
+  TestConnection old_one = server.accept();
   EXPECT_EQ(id_of(old_one.line()), "U1");
   old_one.write(value_answer("U1", "v"));
   EXPECT_EQ(client.line(), "VA 1 OU1\r\n");
   EXPECT_EQ(client.line(), "v\r\n");
   // The replacement is listed before the old one is told to be gone.
   watch.write(http(list_json(6, false, {host_json("s-2", server.address(), "active", 5000)})));
-  EXPECT_TRUE(old_one.ends());
+  EXPECT_TRUE(old_one.is_closed());
   client.write(get("U2"));
-  Link new_one = server.accept();
+  TestConnection new_one = server.accept();
   EXPECT_EQ(id_of(new_one.line()), "U2");
 }
 
@@ -844,9 +844,9 @@
   RunningRouter router(config);
   std::vector<Peer*> all;
   for (Peer& p : peers) all.push_back(&p);
-  std::vector<Link> links(peers.size());
+  std::vector<TestConnection> links(peers.size());
   std::vector<bool> seen(peers.size());
-  Link client = router.client();
+  TestConnection client = router.client();
   // Ever new keys, one at a time, until each server had one: all but one connection are idle then.
   std::size_t reached = 0;
   for (int k = 0; k < 2000 && reached < peers.size(); ++k) {
@@ -858,7 +858,7 @@
     fds.push_back({client.fd(), POLLIN, 0});
     bool answered = false;
     while (!answered) {
-      ASSERT_GT(::poll(fds.data(), fds.size(), kPatienceMs), 0);
+      ASSERT_GT(::poll(fds.data(), fds.size(), kTestTimeoutMs), 0);
       ASSERT_EQ(fds.back().revents, 0) << client.line();  // refused: it had no connection
       for (std::size_t p = 0; p < peers.size() && !answered; ++p) {
         if (fds[p].revents) {
@@ -888,21 +888,21 @@
 TEST(Router, ATerminatedRouterTakesNewConnectionsForAWhileAnswersAllAndEnds) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client(), idle = router.client();
+  TestConnection client = router.client(), idle = router.client();
   idle.write("mn\r\n");
   EXPECT_EQ(idle.line(), "MN\r\n");
   client.write(get("r1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   router.terminate();
-  Link late = router.client();
+  TestConnection late = router.client();
   late.write("mn\r\n");
   EXPECT_EQ(late.line(), "MN\r\n");
-  EXPECT_TRUE(idle.ends());  // between requests
+  EXPECT_TRUE(idle.is_closed());  // between requests
   at_server.write(value_answer("r1", "good"));
   EXPECT_EQ(client.line(), "VA 4 Or1\r\n");
   EXPECT_EQ(client.line(), "good\r\n");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.is_closed());
   client.close(), idle.close(), late.close();
   router.wait_for_end();
 }
--- a/tests/store/belief_test.cpp
+++ b/tests/store/belief_test.cpp
@@ -73,7 +73,7 @@
 TEST(Keeping, GivesTheListBackByItsAge) {
   Folder f;
   EXPECT_TRUE(f.given().known.hosts.empty());
-  f.keep()->told(list());
+  f.keep()->on_list_confirmed(list());
   arrowfork::Config c = f.given();
   ASSERT_EQ(c.known.hosts.size(), 1u);
   EXPECT_EQ(c.known.version, "7");
@@ -88,11 +88,11 @@
 TEST(Keeping, AFolderThatCannotBeUsedIsToldAndNothingElse) {
   Folder f;
   auto first = f.keep();
-  first->told(list());
-  auto state = [](const Keeping& k) { return k.figures().back().second; };
+  first->on_list_confirmed(list());
+  auto state = [](const Keeping& k) { return k.stats().back().second; };
   auto second = f.keep();  // two processes on one folder
   EXPECT_EQ(state(*second), "not_used");
-  second->told(list());
+  second->on_list_confirmed(list());
   second.reset();
   first.reset();
   EXPECT_EQ(f.given().known.hosts.size(), 1u);
@@ -107,7 +107,7 @@
   Folder f;
   for (int k = 0; k < 10; ++k, f.now += 6 * kS) {
     auto keeping = f.keep();
-    for (int j = 0; j < 3; ++j, f.now += 6 * kS) keeping->told(list());
+    for (int j = 0; j < 3; ++j, f.now += 6 * kS) keeping->on_list_confirmed(list());
   }
   EXPECT_EQ(f.given().known.version, "7");
   // The last word of the last life, 12 s ago, is the one that counts, also where it came late.
--- a/tests/tier/link_test.cpp
+++ b/tests/tier/link_test.cpp
@@ -8,7 +8,7 @@
 namespace arrowfork::tier {
 namespace {
 
-using test::Link;
+using test::TestConnection;
 
 class LinkTest : public testing::Test {
  protected:
