--- a/src/net/client_codec.cpp
+++ b/src/net/client_codec.cpp
@@ -13,8 +13,8 @@
   return std::to_string((span + kMillisecond - 1) / kMillisecond);
 }
 
-std::string busy_text(Micros come_back) {
-  return come_back > 0 ? "busy " + millis_text(come_back) : "busy";
+std::string busy_text(Micros retry_after) {
+  return retry_after > 0 ? "busy " + millis_text(retry_after) : "busy";
 }
 
 }  // namespace
@@ -35,35 +35,35 @@
 
 // ---- meta ----
 
-/// What a client's bytes are taken for is decided in meta.hpp; here what only the settings can
-/// tell. Nothing that fails either is passed on: a cache server may close the connection for it,
-/// and others wait on that.
-ClientCodec::Got MetaClientCodec::take(std::string_view& in, Taken& taken) {
+/// meta.hpp checks the syntax, this function what depends on the settings. Nothing that fails
+/// either check is forwarded: a cache server may close the connection for it, and other requests
+/// wait on the same connection.
+ClientCodec::ParseResult MetaClientCodec::parse(std::string_view& in, ParsedCommand& parsed) {
   Command command;
   switch (reader_.take(in, command)) {
     case CommandReader::Got::Nothing:
-      return Got::Nothing;
+      return ParseResult::Incomplete;
     case CommandReader::Got::Noop:
-      taken.answer = away_ ? "SERVER_ERROR draining\r\n" : "MN\r\n";
-      return Got::Answer;
+      parsed.answer = operator_drain_ ? "SERVER_ERROR draining\r\n" : "MN\r\n";
+      return ParseResult::Answer;
     case CommandReader::Got::Unknown:
-      taken.answer = "ERROR\r\n";
-      return Got::Answer;
+      parsed.answer = "ERROR\r\n";
+      return ParseResult::Answer;
     case CommandReader::Got::Bad:
-      taken.answer = "CLIENT_ERROR bad command\r\n";
-      return Got::Answer;
+      parsed.answer = "CLIENT_ERROR bad command\r\n";
+      return ParseResult::Answer;
     case CommandReader::Got::Broken:
-      taken.answer = "CLIENT_ERROR bad framing\r\n";
-      return Got::Last;
+      parsed.answer = "CLIENT_ERROR bad framing\r\n";
+      return ParseResult::FinalAnswer;
     case CommandReader::Got::Command:
       break;
   }
   const robinseam::ClassSettings* type = core_.class_of(command.type);
   if (type && type->effect == robinseam::Effect::Keyed && command.idempotency.empty()) {
-    taken.answer = not_taken({}, Core::Taken::BadClass);
-    return Got::Answer;
+    parsed.answer = rejection({}, Core::Taken::BadClass);
+    return ParseResult::Answer;
   }
-  Request& r = taken.request;
+  Request& r = parsed.request;
   r = Request();
   r.write = command.set;
   r.key = std::move(command.key);
@@ -79,10 +79,10 @@
   r.wants_flags = command.wants_flags;
   r.line_before_wait = std::move(command.before_d);
   r.line_after_wait = std::move(command.after_d);
-  return Got::Request;
+  return ParseResult::Request;
 }
 
-std::string MetaClientCodec::not_taken(const CommandTag&, Core::Taken why) const {
+std::string MetaClientCodec::rejection(const CommandTag&, Core::Taken why) const {
   switch (why) {
     case Core::Taken::BadClass:
       return "CLIENT_ERROR bad class\r\n";
@@ -108,53 +108,56 @@
 
 // ---- binary ----
 
-ClientCodec::Got BinaryClientCodec::take(std::string_view& in, Taken& taken) {
+ClientCodec::ParseResult BinaryClientCodec::parse(std::string_view& in, ParsedCommand& parsed) {
   binary::Command command;
-  auto got = reader_.take(in, command);
-  if (got == binary::CommandReader::Got::Nothing) return Got::Nothing;
-  taken.tag = {command.opcode, command.opaque};
-  barrier_due_ = got == binary::CommandReader::Got::Command && binary::is_quiet(command.opcode);
-  if (got != binary::CommandReader::Got::Command) {
-    taken.answer = binary::response(command.opcode, reader_.refused(), command.opaque);
-    return got == binary::CommandReader::Got::Broken ? Got::Last : Got::Answer;
+  auto result = reader_.take(in, command);
+  if (result == binary::CommandReader::Got::Nothing) return ParseResult::Incomplete;
+  parsed.tag = {command.opcode, command.opaque};
+  awaits_barrier_ =
+      result == binary::CommandReader::Got::Command && binary::is_quiet(command.opcode);
+  if (result != binary::CommandReader::Got::Command) {
+    parsed.answer = binary::response(command.opcode, reader_.refused(), command.opaque);
+    return result == binary::CommandReader::Got::Broken ? ParseResult::FinalAnswer
+                                                        : ParseResult::Answer;
   }
   if (binary::is_read(command.opcode) || binary::is_write(command.opcode))
-    return take_request(command, taken);
-  taken.answer.clear();
+    return make_request(command, parsed);
+  parsed.answer.clear();
   switch (command.opcode) {
     case binary::Opcode::QuitQ:
-      return Got::Last;
+      return ParseResult::FinalAnswer;
     case binary::Opcode::Quit:
-      taken.answer = binary::response(command.opcode, binary::status::kOk, command.opaque);
-      return Got::Last;
+      parsed.answer = binary::response(command.opcode, binary::status::kOk, command.opaque);
+      return ParseResult::FinalAnswer;
     case binary::Opcode::Stat:
-      taken.answer = stats(command);
-      return Got::Answer;
+      parsed.answer = stats(command);
+      return ParseResult::Answer;
     case binary::Opcode::Version:
-      taken.answer =
+      parsed.answer =
           binary::response(command.opcode, binary::status::kOk, command.opaque, kVersion);
-      return Got::Answer;
+      return ParseResult::Answer;
     default:
-      taken.answer = binary::response(command.opcode, binary::status::kOk, command.opaque);
-      return Got::Answer;
+      parsed.answer = binary::response(command.opcode, binary::status::kOk, command.opaque);
+      return ParseResult::Answer;
   }
 }
 
-ClientCodec::Got BinaryClientCodec::take_request(binary::Command& command, Taken& taken) const {
+ClientCodec::ParseResult BinaryClientCodec::make_request(binary::Command& command,
+                                                         ParsedCommand& parsed) const {
   auto refuse = [&](std::uint16_t status, const char* why) {
-    taken.answer = binary::response(command.opcode, status, command.opaque, why);
-    return Got::Answer;
+    parsed.answer = binary::response(command.opcode, status, command.opaque, why);
+    return ParseResult::Answer;
   };
-  // Keys go on to servers of either protocol, and in meta lines a space or a line end would begin
-  // something else.
+  // Keys go to servers of either protocol, and in a meta line a space or line end would begin
+  // another token or command.
   if (!std::all_of(command.key.begin(), command.key.end(),
                    [](unsigned char c) { return c > 32 && c < 127; }))
     return refuse(binary::status::kInvalid, "key: not printable");
   bool write = binary::is_write(command.opcode);
-  // Taken as a plain SET, a compare-and-swap would overwrite what it is meant to spare.
+  // Handled as a plain SET, a compare-and-swap would overwrite the newer value it must not touch.
   if (command.cas != 0 && !(write && rules_.cas_is_idempotency_key))
     return refuse(binary::status::kNotSupported, "cas: not supported");
-  Request& r = taken.request;
+  Request& r = parsed.request;
   r = Request();
   r.write = write;
   r.tenant = rules_.tenant_of(command.key);
@@ -168,7 +171,7 @@
     r.expiry = command.expiry;
     r.value = std::make_shared<const std::string>(std::move(command.value));
   }
-  return Got::Request;
+  return ParseResult::Request;
 }
 
 std::string BinaryClientCodec::stats(const binary::Command& command) const {
@@ -180,8 +183,9 @@
   return text + binary::stat(command.opaque, {}, {});
 }
 
-std::string BinaryClientCodec::not_taken(const CommandTag& tag, Core::Taken why) const {
-  // Ids are the router's own here; a class that the settings don't have is a reload's doing.
+std::string BinaryClientCodec::rejection(const CommandTag& tag, Core::Taken why) const {
+  // Ids are assigned by the router here, so none is in use. A class that is missing from the
+  // settings comes from a reload.
   bool busy = why != Core::Taken::BadClass;
   return binary::response(tag.opcode, busy ? binary::status::kBusy : binary::status::kInternal,
                           tag.opaque, busy ? "busy" : "bad class");
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -13,50 +13,50 @@
 namespace arrowfork {
 namespace {
 
-constexpr std::size_t kScratch = 64u << 10;
-// Unanswered commands of one connection; beyond, it is not read.
-constexpr std::size_t kPipelineMax = 32;
-// Bytes of one connection's commands and answers, and of answers that wait for a slow reader;
-// beyond, it is not read. Any one command and its answer fit.
-constexpr std::size_t kHeldMost = 2 * (kMaxValue + kMaxLine);
-// Output buffers larger than this are given back when empty.
-constexpr std::size_t kOutLow = 32u << 10;
-// A command's line must come within this of its first byte, and a connection's first one within
-// this of the connect: a client may take 2 s for a head, and DAYS owes bad clients an error or a
-// close within 3 s, the sweep's step included.
-constexpr Micros kCommandTime = 2'500 * kMillisecond;
-// A value may come as slowly as it likes, but not stand still for so long, nor take longer in all.
-constexpr Micros kValueSilence = 2'500 * kMillisecond;
-constexpr Micros kValueTime = 60 * kSecond;
-// Nothing is lost with a connection on which nothing was asked for this long, and clients that keep
-// theirs for good would fill the table with them. DAYS allows it from 2 s on; clients' own pools
-// are used again well within this, and closing those would cost them connects and crossings.
-constexpr Micros kIdleTime = 10 * kSecond;
-// When the table is full, a connection that has said nothing for this long after its connect makes
-// way, and one that has not closed this long after its last answer: clients connect to ask.
-constexpr Micros kSilentTime = kSecond / 10;
-// A client that takes none of its answer for this long is given up.
-// Slow readers of large values show that they read only by half a socket's buffer at a time.
-constexpr Micros kStallTime = 5 * kSecond;
-// After our FIN the connection is read until the client's, at most this long and this many bytes:
-// closing with unread bytes would send a reset, which may destroy the last answer on its way.
-constexpr Micros kLingerTime = kSecond / 2;
-// As long as the client has not got all that was written, the reset would take an answer with it:
-// then up to kStallTime and this many bytes.
-constexpr std::size_t kLingerBytes = 1u << 20, kLingerMostBytes = 16u << 20;
-// A client that has gone may have left bytes that wait unread, so that its end is not read either:
-// such connections are asked for it this often, which leaves most of the 0.1 s within which nothing
-// more may begin for it.
-constexpr Micros kLookForEnd = 40 * kMillisecond;
-// Also how long new connections wait at most once one of those in the table may make way.
-constexpr Micros kSweep = kSecond / 10;
-// Clients are sent away: so long after the call the front has asked `mn` again and sends no more
-// new connections (0.1 s and 0.2 s, and some delay). From then on a connection that has its answer
-// is closed, one that was idle for a while too, and after the longer time every one between
-// requests: 4 s after the call none may be held.
-constexpr Micros kAwayNoticed = kSecond / 2;
-constexpr Micros kAwayIdle = kSecond / 2;
-constexpr Micros kAwayAll = 2 * kSecond;
+constexpr std::size_t kReadBufferBytes = 64u << 10;
+// A connection with this many unanswered commands is not read.
+constexpr std::size_t kMaxPipelinedCommands = 32;
+// Bytes of one connection's commands and answers, including answers that wait for a slow reader;
+// beyond, it is not read. Any single command and its answer fit.
+constexpr std::size_t kMaxHeldBytes = 2 * (kMaxValue + kMaxLine);
+// Output buffers larger than this are freed when empty.
+constexpr std::size_t kMaxIdleOutputBytes = 32u << 10;
+// A command's line must be complete this long after its first byte, and a connection's first line
+// this long after the connect: a client may take 2 s for a command's head, and DAYS requires an
+// error or a close within 3 s for bad clients, including one sweep interval.
+constexpr Micros kCommandTimeout = 2'500 * kMillisecond;
+// A value may arrive slowly, but with no gap longer than the first time and within the second.
+constexpr Micros kValueStallTimeout = 2'500 * kMillisecond;
+constexpr Micros kValueTimeout = 60 * kSecond;
+// An idle connection can be closed without loss, and clients that keep theirs forever would fill
+// the table. DAYS allows closing from 2 s on. Connection pools of clients reuse theirs well within
+// this time; closing those would cost reconnects and requests that cross the close.
+constexpr Micros kIdleTimeout = 10 * kSecond;
+// When the table is full, a connection may be evicted this long after its connect if it has sent
+// nothing, and this long after its last answer if the client has not closed it.
+constexpr Micros kEvictableAfter = kSecond / 10;
+// A client that accepts no byte of its answer for this long is disconnected. Slow readers of large
+// values free only half a socket buffer at a time, so reading shows in steps of that size.
+constexpr Micros kWriteStallTimeout = 5 * kSecond;
+// After sending FIN the connection is read until the client's FIN, at most this long and this many
+// bytes: closing with unread bytes would send a reset, which may destroy the last answer in flight.
+constexpr Micros kLingerTimeout = kSecond / 2;
+// While written bytes are unacknowledged, a reset would destroy an answer: then the limits are
+// kWriteStallTimeout and the second byte count.
+constexpr std::size_t kLingerBytes = 1u << 20, kMaxLingerBytes = 16u << 20;
+// A client may have closed its connection behind bytes that are not read yet, so that the close is
+// not read either. Such connections are polled for it this often, which leaves most of the 0.1 s
+// after which no new work may begin for that client.
+constexpr Micros kDisconnectCheckInterval = 40 * kMillisecond;
+// Also the longest wait of new connections once one in the table may be evicted.
+constexpr Micros kSweepInterval = kSecond / 10;
+// Operator drain: after the first time the load balancer has probed `mn` again and sends no new
+// connections (0.1 s and 0.2 s, and some delay). From then on connections are closed after their
+// answer or when idle for the second time; after the third every connection between requests is
+// closed, because none may remain 4 s after the call.
+constexpr Micros kDrainNoticed = kSecond / 2;
+constexpr Micros kDrainIdleTimeout = kSecond / 2;
+constexpr Micros kDrainCloseAll = 2 * kSecond;
 
 }  // namespace
 
@@ -69,40 +69,40 @@
     event_add(read_.get(), nullptr);
   }
   ~ClientConnection() {
-    hold_less(held_bytes_);
+    release_bytes(held_bytes_);
     side_.bulk_bytes_ -= bulk_;
   }
 
   static void on_event(evutil_socket_t, short what, void* self) {
     auto* c = static_cast<ClientConnection*>(self);
     if (c->closed_) return;
-    if (what & EV_WRITE) c->side_.touch(*c);
+    if (what & EV_WRITE) c->side_.mark_dirty(*c);
     if (what & EV_READ) c->read();
   }
 
-  bool at_rest() const { return slots_.empty() && out_.empty() && !in_command(); }
-  bool idle() const { return at_rest() && between_requests(); }
+  bool has_no_work() const { return slots_.empty() && out_.empty() && !in_command(); }
+  bool idle() const { return has_no_work() && between_requests(); }
   bool in_command() const { return (codec_ && codec_->in_command()) || !held_.empty(); }
 
-  /// Quiet commands that were taken owe the client the answer to the one that ends them.
-  bool between_requests() const { return !in_command() && !(codec_ && codec_->barrier_due()); }
+  /// False also after quiet commands: the client is still owed the answer to their barrier.
+  bool between_requests() const { return !in_command() && !(codec_ && codec_->awaits_barrier()); }
 
-  /// What has come by now is read before the connection is ended: a request may lie there. False
-  /// where something is owed after it.
-  bool nothing_came() {
+  /// Reads what has arrived before the connection is closed, as a request may be waiting. False if
+  /// an answer is owed afterwards.
+  bool still_idle_after_read() {
     if (reading_ && !eof_ && !lingering_) read();
     return !closed_ && idle();
   }
 
-  /// The client's machine has not got all that was written.
+  /// True while the client's machine has not acknowledged all written bytes.
   bool unacknowledged() const {
     int bytes = 0;
     return ::ioctl(fd_.get(), SIOCOUTQ, &bytes) == 0 && bytes > 0;
   }
 
-  /// Whether the client has ended its connection behind bytes that are not read yet.
-  void look_for_end() {
-    if (reading_ || closed_ || eof_ || leaving_ || lingering_) return;
+  /// Detects that the client has closed its connection behind bytes that are not read yet.
+  void check_for_disconnect() {
+    if (reading_ || closed_ || eof_ || disconnect_seen_ || lingering_) return;
     pollfd p{fd_.get(), POLLRDHUP, 0};
     if (::poll(&p, 1, 0) <= 0) return;
     if (p.revents & (POLLERR | POLLHUP)) {
@@ -110,21 +110,21 @@
       return;
     }
     if (!(p.revents & POLLRDHUP)) return;
-    leaving_ = true;
-    leave();
+    disconnect_seen_ = true;
+    notify_client_left();
   }
 
   void read() {
-    ssize_t got = ::recv(fd_.get(), side_.scratch_.get(), kScratch, 0);
+    ssize_t got = ::recv(fd_.get(), side_.scratch_.get(), kReadBufferBytes, 0);
     if (got < 0) {
       if (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) return;
-      side_.close(*this);  // reset: the client is gone for certain
+      side_.close(*this);  // reset: the client is gone
       return;
     }
-    if (lingering_) {  // what crosses our end is nobody's to send on
+    if (lingering_) {  // input after our FIN is dropped
       lingered_ += static_cast<std::size_t>(got);
       if (got == 0 || (lingered_ > kLingerBytes && !unacknowledged()) ||
-          lingered_ > kLingerMostBytes)
+          lingered_ > kMaxLingerBytes)
         side_.close(*this);
       return;
     }
@@ -132,9 +132,9 @@
       end_of_input();
       return;
     }
-    asked_ = true;
-    heard_at_ = side_.clock_.now();
-    if (!in_command()) since_ = heard_at_;
+    received_any_ = true;
+    last_read_at_ = side_.clock_.now();
+    if (!in_command()) since_ = last_read_at_;
     std::string_view in(side_.scratch_.get(), static_cast<std::size_t>(got));
     if (held_.empty()) {
       parse(in);
@@ -146,65 +146,66 @@
     update_reading();
   }
 
-  /// The first byte tells; the connection keeps what it said.
+  /// The first byte decides the protocol for the whole connection.
   void choose_codec(unsigned char first) {
     if (side_.rules_.clients && first == binary::kRequestMagic) {
       ++side_.counts_.binary;
       codec_ = std::make_unique<BinaryClientCodec>(side_.rules_, side_.stats_);
     } else {
       ++side_.counts_.meta;
-      codec_ = std::make_unique<MetaClientCodec>(side_.core_, side_.rules_.any(), side_.away_);
+      codec_ =
+          std::make_unique<MetaClientCodec>(side_.core_, side_.rules_.any(), side_.operator_drain_);
     }
   }
 
-  /// Handles the commands in `in` and consumes them, until a budget is used up.
+  /// Handles the commands in `in` and consumes them, until a limit is reached.
   void parse(std::string_view& in) {
     if (!codec_ && !in.empty()) choose_codec(static_cast<unsigned char>(in.front()));
-    ClientCodec::Taken taken;
-    while (!broken_ && !closed_ && !in.empty() && may_take()) {
-      auto got = codec_->take(in, taken);
-      if (got == ClientCodec::Got::Nothing) break;
-      since_ = side_.clock_.now();  // the next one begins
+    ClientCodec::ParsedCommand parsed;
+    while (!broken_ && !closed_ && !in.empty() && may_parse()) {
+      auto got = codec_->parse(in, parsed);
+      if (got == ClientCodec::ParseResult::Incomplete) break;
+      since_ = side_.clock_.now();  // the next command begins
       ClientSlot& slot = add_slot();
       slot.bulk = std::exchange(bulk_, 0);
-      slot.tag = taken.tag;
-      if (got == ClientCodec::Got::Request) {
-        take(slot, std::move(taken.request));
+      slot.tag = parsed.tag;
+      if (got == ClientCodec::ParseResult::Request) {
+        submit(slot, std::move(parsed.request));
         continue;
       }
-      broken_ = got == ClientCodec::Got::Last;
-      side_.answer(slot, std::move(taken.answer));
+      broken_ = got == ClientCodec::ParseResult::FinalAnswer;
+      side_.answer(slot, std::move(parsed.answer));
     }
     if (broken_) in = {};
   }
 
-  void take(ClientSlot& slot, Request&& request) {
+  void submit(ClientSlot& slot, Request&& request) {
     slot.bytes = request.line_before_wait.size() + request.line_after_wait.size() +
                  (request.value && slot.bulk == 0 ? request.value->size() : 0);
     if (request.line_before_wait.empty()) slot.bytes += binary::kHeader + request.key.size();
-    hold_more(slot.bytes);
-    bool refused = over_limit_ || eof_ || leaving_;  // nothing new for a client that has gone
+    reserve_bytes(slot.bytes);
+    bool refused = over_limit_ || eof_ || disconnect_seen_;  // nothing new for a client that left
     if (refused) side_.core_.note_refused(request.type);
     Core::Taken taken = refused
                             ? Core::Taken::Busy
                             : side_.core_.take(std::move(request), slot, side_.carrier_, slot.id);
-    if (taken != Core::Taken::Yes) side_.answer(slot, codec_->not_taken(slot.tag, taken));
+    if (taken != Core::Taken::Yes) side_.answer(slot, codec_->rejection(slot.tag, taken));
   }
 
-  /// Back-pressure: what a client has under way is bounded, for itself and for all together. One
-  /// with nothing under way is always read, so that none waits for others for good.
-  bool may_take() const {
-    if (waits_for_room_) return false;
+  /// Back-pressure: limits pending commands and answers, per client and for all clients together. A
+  /// connection with nothing pending is always read, so that none starves behind others.
+  bool may_parse() const {
+    if (waits_for_bulk_) return false;
     if (slots_.empty() && out_.empty()) return true;
-    return slots_.size() < kPipelineMax && held_bytes_ < kHeldMost &&
+    return slots_.size() < kMaxPipelinedCommands && held_bytes_ < kMaxHeldBytes &&
            side_.held_bytes_ < side_.limits_.held_bytes;
   }
 
-  void hold_more(std::size_t bytes) {
+  void reserve_bytes(std::size_t bytes) {
     held_bytes_ += bytes;
     side_.held_bytes_ += bytes;
   }
-  void hold_less(std::size_t bytes) {
+  void release_bytes(std::size_t bytes) {
     held_bytes_ -= bytes;
     side_.held_bytes_ -= bytes;
   }
@@ -215,33 +216,33 @@
     held_.erase(0, held_.size() - in.size());
   }
 
-  /// A large value's place in the pool: without it the connection is not read on.
+  /// Reserves bytes for a large value; the connection is not read further without them.
   void reserve_bulk() {
-    std::size_t need = codec_ ? codec_->in_value() : 0;
-    waits_for_room_ = false;
+    std::size_t need = codec_ ? codec_->size_of_value_in_progress() : 0;
+    waits_for_bulk_ = false;
     if (need <= kMaxValue + 2 || bulk_ > 0) return;
     if (side_.bulk_bytes_ > 0 && side_.bulk_bytes_ + need > side_.limits_.bulk_bytes) {
-      waits_for_room_ = true;
-      heard_at_ = since_ = side_.clock_.now();
+      waits_for_bulk_ = true;
+      last_read_at_ = since_ = side_.clock_.now();
       return;
     }
     bulk_ = need;
     side_.bulk_bytes_ += need;
   }
 
-  /// A half-close looks like a close, so that nothing new is begun for the client. What may run
-  /// already is waited for and answered, the rest refused: a client that is really gone only makes
-  /// the write fail.
+  /// A half-close cannot be told from a close, so no new work begins for the client. Requests that
+  /// may be running are awaited and answered, the rest is refused. If the client is really gone,
+  /// only the write fails.
   void end_of_input() {
     eof_ = true;
     event_del(read_.get());
-    leave();
-    if (!waits_for_room_) parse_held();
-    if (waits_for_room_) held_.clear();
+    notify_client_left();
+    if (!waits_for_bulk_) parse_held();
+    if (waits_for_bulk_) held_.clear();
     if (slots_.empty() && out_.empty() && held_.empty()) side_.close(*this);
   }
 
-  void leave() {
+  void notify_client_left() {
     for (ClientSlot& slot : slots_)
       if (slot.id && !slot.done) side_.core_.left(slot.id);
   }
@@ -252,25 +253,25 @@
     return slots_.back();
   }
 
-  /// Moves finished answers into the output, in order; of a large value so much as may be held.
+  /// Moves finished answers to the output, in order; of a streamed value up to the pipe's window.
   void advance() {
-    while (!slots_.empty() && slots_.front().done && !cut_short_) {
+    while (!slots_.empty() && slots_.front().done && !value_truncated_) {
       ClientSlot& slot = slots_.front();
       out_ += std::exchange(slot.text, {});
       if (ValuePipe* pipe = slot.pipe.get()) {
         while (out_.size() - out_at_ < pipe->window()) {
           std::string bytes = pipe->take();
           if (bytes.empty()) break;
-          hold_more(bytes.size());
+          reserve_bytes(bytes.size());
           out_ += bytes;
         }
         if (!pipe->finished()) {
-          cut_short_ = pipe->failed();
+          value_truncated_ = pipe->failed();
           return;
         }
-        std::string_view behind = codec_->behind_value();
-        hold_more(behind.size());
-        out_ += behind;
+        std::string_view trailer = codec_->value_trailer();
+        reserve_bytes(trailer.size());
+        out_ += trailer;
       }
       slots_.pop_front();
     }
@@ -290,20 +291,20 @@
         break;
       }
       out_at_ += static_cast<std::size_t>(put);
-      hold_less(static_cast<std::size_t>(put));
+      release_bytes(static_cast<std::size_t>(put));
       since_ = side_.clock_.now();
       stalled_since_ = 0;
     }
     if (out_at_ == out_.size()) {
-      if (out_.capacity() > kOutLow) std::string().swap(out_);
+      if (out_.capacity() > kMaxIdleOutputBytes) std::string().swap(out_);
       out_.clear();
       out_at_ = 0;
-    } else if (out_at_ > kOutLow) {
+    } else if (out_at_ > kMaxIdleOutputBytes) {
       out_.erase(0, out_at_);
       out_at_ = 0;
     }
-    // The client has been told a length that will not come: an end is all that can tell it.
-    if (out_.empty() && cut_short_) {
+    // The announced length cannot be delivered; closing is the only way to report that.
+    if (out_.empty() && value_truncated_) {
       slots_.clear();
       side_.close(*this);
       return;
@@ -315,7 +316,7 @@
         return;
       }
       if (side_.closing() && between_requests()) {
-        part();
+        hand_over_or_close();
         return;
       }
     }
@@ -323,15 +324,14 @@
     update_reading();
   }
 
-  /// Ends the connection between two requests: what the client sends next is another process's, or
-  /// crosses our end.
-  void part() {
+  /// Hands the connection over or closes it, between two requests.
+  void hand_over_or_close() {
     if (lingering_) return;
-    ClientSide::HandOverResult given = side_.draining_ && side_.hand_over_
-                                           ? side_.hand_over_(fd_.get())
-                                           : ClientSide::HandOverResult::NotSent;
-    if (given == ClientSide::HandOverResult::Sent) side_.close(*this);
-    if (given == ClientSide::HandOverResult::NotSent && nothing_came()) finish();
+    ClientSide::HandOverResult result = side_.draining_ && side_.hand_over_
+                                            ? side_.hand_over_(fd_.get())
+                                            : ClientSide::HandOverResult::NotSent;
+    if (result == ClientSide::HandOverResult::Sent) side_.close(*this);
+    if (result == ClientSide::HandOverResult::NotSent && still_idle_after_read()) finish();
   }
 
   /// Closes after the last answer.
@@ -350,55 +350,55 @@
   void update_reading() {
     if (closed_ || eof_ || lingering_) return;
     reserve_bulk();
-    bool want = held_.empty() && !broken_ && may_take();
-    // Once we end, what has been begun is answered and no more taken: what comes behind it crosses
-    // our end, or is the next process's.
+    bool want = held_.empty() && !broken_ && may_parse();
+    // While draining, commands under way are answered and no more are read: later input is for the
+    // next process, or crosses our close.
     if (side_.draining_ && !slots_.empty() && between_requests()) want = false;
     if (want == reading_) return;
     reading_ = want;
     want ? event_add(read_.get(), nullptr) : event_del(read_.get());
-    if (!want) side_.look_for_ends();
+    if (!want) side_.schedule_disconnect_check();
   }
 
   void sweep(Micros now) {
-    if (!held_.empty() && !waits_for_room_) parse_held();  // others may have made room
+    if (!held_.empty() && !waits_for_bulk_) parse_held();  // limits may have freed up
     update_reading();
     if (closed_) return;
-    if (side_.closing() && at_rest() && between_requests() && !lingering_ && !side_.draining_ &&
-        (now - since_ > kAwayIdle || now - side_.away_since_ > kAwayAll)) {
-      if (nothing_came()) finish();
+    if (side_.closing() && has_no_work() && between_requests() && !lingering_ && !side_.draining_ &&
+        (now - since_ > kDrainIdleTimeout || now - side_.operator_drain_since_ > kDrainCloseAll)) {
+      if (still_idle_after_read()) finish();
       return;
     }
-    bool in_value = codec_ && codec_->in_value() > 0;
-    Micros most = lingering_            ? kLingerTime
-                  : at_rest() && asked_ ? kIdleTime
-                  : !slots_.empty()     ? Micros{0}
-                  : in_value            ? kValueTime
-                                        : kCommandTime;
-    if (stalled_since_ && now - stalled_since_ > kStallTime) {
+    bool in_value = codec_ && codec_->size_of_value_in_progress() > 0;
+    Micros timeout = lingering_                       ? kLingerTimeout
+                     : has_no_work() && received_any_ ? kIdleTimeout
+                     : !slots_.empty()                ? Micros{0}
+                     : in_value                       ? kValueTimeout
+                                                      : kCommandTimeout;
+    if (stalled_since_ && now - stalled_since_ > kWriteStallTimeout) {
       side_.close(*this);
       return;
     }
-    bool over = (most > 0 && out_.empty() && now - since_ > most) ||
-                (in_value && slots_.empty() && now - heard_at_ > kValueSilence);
-    if (!over) return;
+    bool expired = (timeout > 0 && out_.empty() && now - since_ > timeout) ||
+                   (in_value && slots_.empty() && now - last_read_at_ > kValueStallTimeout);
+    if (!expired) return;
     if (lingering_) {
-      if (now - since_ > kStallTime || !unacknowledged()) side_.close(*this);
-    } else if (!at_rest()) {
+      if (now - since_ > kWriteStallTimeout || !unacknowledged()) side_.close(*this);
+    } else if (!has_no_work()) {
       finish();  // half a command
-    } else if (nothing_came()) {
+    } else if (still_idle_after_read()) {
       finish();
     }
   }
 
-  /// The process ends: what is written goes out behind this, since nothing is left unread that
-  /// would turn the close into a reset.
-  void end() {
+  /// Flushes and empties the input before the process ends, as unread bytes would turn the close
+  /// into a reset and destroy answers already written.
+  void shut_down() {
     flush();
     if (closed_) return;
     ::shutdown(fd_.get(), SHUT_WR);
     for (std::size_t dropped = 0; dropped < kLingerBytes;) {
-      ssize_t got = ::recv(fd_.get(), side_.scratch_.get(), kScratch, 0);
+      ssize_t got = ::recv(fd_.get(), side_.scratch_.get(), kReadBufferBytes, 0);
       if (got <= 0) break;
       dropped += static_cast<std::size_t>(got);
     }
@@ -407,29 +407,28 @@
   ClientSide& side_;
   Fd fd_;
   EventPtr read_, write_;
-  std::unique_ptr<ClientCodec> codec_;  // none before the first byte
+  std::unique_ptr<ClientCodec> codec_;  // null before the first byte
   std::deque<ClientSlot> slots_;
-  std::string held_;  // bytes read that must wait to be parsed
+  std::string held_;  // bytes read but not parsed yet
   std::string out_;
   std::size_t out_at_ = 0;
-  std::size_t held_bytes_ = 0;  // of its slots and `out_`, in the common budget too
+  std::size_t held_bytes_ = 0;  // of slots_ and out_; also counted in ClientSide::held_bytes_
   std::size_t lingered_ = 0;
-  std::size_t bulk_ = 0;         // of the value that is being read, in the pool
-  bool waits_for_room_ = false;  // in the pool
-  bool cut_short_ = false;       // a large value came in part
-  bool asked_ = false;           // something has come on it
+  std::size_t bulk_ = 0;          // of the value being read; also in ClientSide::bulk_bytes_
+  bool waits_for_bulk_ = false;   // for bytes for a large value
+  bool value_truncated_ = false;  // a streamed value ended early
+  bool received_any_ = false;     // bytes were received, here or in the process before
   bool reading_ = true;
   bool eof_ = false;
-  bool leaving_ = false;  // its end is there, behind bytes that are not read yet
-  bool broken_ = false;   // framing lost: closes after the answers due
-  bool over_limit_;       // refused and closed
+  bool disconnect_seen_ = false;  // the client closed behind bytes that are not read yet
+  bool broken_ = false;           // framing lost: closes after the pending answers
+  bool over_limit_;               // commands are refused and the connection closed
   bool lingering_ = false;
   bool dirty_ = false;
   bool closed_ = false;
-  Micros
-      since_;  // connect, first byte of a command, or end of the last answer; start of the linger
+  Micros since_;  // connect, first byte of a command, end of the last answer, or start of lingering
   Micros stalled_since_ = 0;
-  Micros heard_at_ = 0;
+  Micros last_read_at_ = 0;
   std::size_t index_ = 0;  // in ClientSide::connections_
 };
 
@@ -443,7 +442,7 @@
   ClientSide& side = connection->side_;
   side.bulk_bytes_ -= bulk;
   if (!pipe) return;
-  --side.piping_;
+  --side.streaming_values_;
   pipe->abandon();
 }
 
@@ -454,10 +453,10 @@
       core_(core),
       carrier_(carrier),
       limits_(limits),
-      scratch_(std::make_unique<char[]>(kScratch)) {
-  look_event_.reset(event_new(base, -1, 0, on_look, this));
+      scratch_(std::make_unique<char[]>(kReadBufferBytes)) {
+  disconnect_check_event_.reset(event_new(base, -1, 0, on_disconnect_check, this));
   sweep_event_.reset(event_new(base, -1, EV_PERSIST, on_sweep, this));
-  timeval every = timeval_of(kSweep);
+  timeval every = timeval_of(kSweepInterval);
   event_add(sweep_event_.get(), &every);
 }
 
@@ -479,83 +478,84 @@
 std::uint16_t ClientSide::port() const { return port_of(listener_); }
 
 void ClientSide::on_accept(evutil_socket_t, short, void* self) {
-  static_cast<ClientSide*>(self)->accept_some(64);
+  static_cast<ClientSide*>(self)->accept_pending(64);
 }
 
 void ClientSide::on_sweep(evutil_socket_t, short, void* self) {
   static_cast<ClientSide*>(self)->sweep();
 }
 
-void ClientSide::accept_some(int most) {
-  while (most-- > 0) {
-    while (connections_.size() >= limits_.connections && someone_waits() && make_room()) {
+void ClientSide::accept_pending(int max_count) {
+  while (max_count-- > 0) {
+    while (connections_.size() >= limits_.connections && backlog_waits() && evict_connection()) {
     }
     if (connections_.size() >= limits_.connections + limits_.spare_connections) {
-      accept_paused_ = true;  // level-triggered: without this the loop would spin
+      accept_paused_ = true;  // level-triggered: the loop would spin otherwise
       event_del(accept_event_.get());
       return;
     }
     Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      if (errno != EAGAIN && errno != EWOULDBLOCK && !make_room()) {
-        accept_paused_ = true;  // out of descriptors or memory: the sweep tries again
+      if (errno != EAGAIN && errno != EWOULDBLOCK && !evict_connection()) {
+        accept_paused_ = true;  // out of descriptors or memory: the sweep resumes accepting
         event_del(accept_event_.get());
       }
       return;
     }
-    admit(std::move(fd), false);
+    add_connection(std::move(fd), false);
   }
 }
 
-void ClientSide::admit(Fd fd, bool adopted) {
+void ClientSide::add_connection(Fd fd, bool adopted) {
   int on = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   if (adopted)
-    while (connections_.size() >= limits_.connections && make_room()) {
+    while (connections_.size() >= limits_.connections && evict_connection()) {
     }
   bool over = connections_.size() >= limits_.connections;
   connections_.push_back(std::make_unique<ClientConnection>(*this, std::move(fd), over));
   connections_.back()->index_ = connections_.size() - 1;
-  connections_.back()->asked_ = adopted;
+  connections_.back()->received_any_ = adopted;
 }
 
 void ClientSide::suspend_accepting(bool on) {
-  held_back_ = on;
+  accepting_suspended_ = on;
   if (!accept_event_) return;
   on ? event_del(accept_event_.get()) : event_add(accept_event_.get(), nullptr);
 }
 
 void ClientSide::set_operator_drain(bool on) {
-  if (on && !away_) away_since_ = clock_.now();
-  away_ = on;
+  if (on && !operator_drain_) operator_drain_since_ = clock_.now();
+  operator_drain_ = on;
 }
 
 bool ClientSide::closing() const {
-  return draining_ || (away_ && clock_.now() - away_since_ > kAwayNoticed);
+  return draining_ || (operator_drain_ && clock_.now() - operator_drain_since_ > kDrainNoticed);
 }
 
-/// First one that has its last answer and only has to close, then one that has been silent since
-/// its connect, each if it had time to act; then one that had its answers. The oldest of each.
-/// Guards against floods of connections of any kind; the harm is a connect more for a client that
-/// was slow.
-bool ClientSide::make_room() {
+/// Evicts the oldest connection of the first kind that has one: lingering after its last answer,
+/// silent since its connect (both only after kEvictableAfter), idle after answers. Guards against
+/// floods of connections of any kind; at worst a slow client has to connect again.
+bool ClientSide::evict_connection() {
   enum { kLingering, kSilent, kIdle, kKinds };
   std::array<ClientConnection*, kKinds> oldest{};
   for (auto& c : connections_) {
-    if (!c->idle() && !c->lingering_) continue;  // also one that ended in half a command
-    ClientConnection*& best = oldest[c->lingering_ ? kLingering : c->asked_ ? kIdle : kSilent];
+    if (!c->idle() && !c->lingering_) continue;  // lingering_: may hold half a command
+    ClientConnection*& best = oldest[c->lingering_      ? kLingering
+                                     : c->received_any_ ? kIdle
+                                                        : kSilent];
     if (!best || c->since_ < best->since_) best = c.get();
   }
   for (int kind = 0; kind < kKinds; ++kind) {
     ClientConnection* c = oldest[kind];
-    if (!c || (kind != kIdle && clock_.now() - c->since_ < kSilentTime)) continue;
-    if (kind == kLingering && c->unacknowledged() && clock_.now() - c->since_ < kStallTime)
+    if (!c || (kind != kIdle && clock_.now() - c->since_ < kEvictableAfter)) continue;
+    if (kind == kLingering && c->unacknowledged() && clock_.now() - c->since_ < kWriteStallTimeout)
       continue;
     if (kind != kLingering) {
-      bool busy = !c->nothing_came();
+      bool busy = !c->still_idle_after_read();
       if (!busy && c->unacknowledged()) c->finish(), busy = true;
-      if (busy) return make_room();  // one fewer that is idle
+      if (busy) return evict_connection();  // one fewer is idle now
     }
     close(*c);
     return true;
@@ -563,46 +563,46 @@
   return false;
 }
 
-/// Nobody has to make way before somebody has come.
-bool ClientSide::someone_waits() const {
+/// Connections are evicted only when another one waits.
+bool ClientSide::backlog_waits() const {
   pollfd p{listener_.get(), POLLIN, 0};
   return ::poll(&p, 1, 0) > 0;
 }
 
-void ClientSide::look_for_ends() {
-  if (event_pending(look_event_.get(), EV_TIMEOUT, nullptr)) return;
-  timeval soon = timeval_of(kLookForEnd);
-  event_add(look_event_.get(), &soon);
+void ClientSide::schedule_disconnect_check() {
+  if (event_pending(disconnect_check_event_.get(), EV_TIMEOUT, nullptr)) return;
+  timeval soon = timeval_of(kDisconnectCheckInterval);
+  event_add(disconnect_check_event_.get(), &soon);
 }
 
-void ClientSide::on_look(evutil_socket_t, short, void* self) {
+void ClientSide::on_disconnect_check(evutil_socket_t, short, void* self) {
   auto* side = static_cast<ClientSide*>(self);
   bool unread = false;
   for (std::size_t k = side->connections_.size(); k-- > 0;) {
     if (k >= side->connections_.size()) continue;
     ClientConnection& c = *side->connections_[k];
     unread |= !c.reading_;
-    c.look_for_end();
+    c.check_for_disconnect();
   }
-  if (unread) side->look_for_ends();
+  if (unread) side->schedule_disconnect_check();
 }
 
 void ClientSide::shut_down() {
   for (std::size_t k = connections_.size(); k-- > 0;)
-    if (k < connections_.size()) connections_[k]->end();
+    if (k < connections_.size()) connections_[k]->shut_down();
 }
 
 void ClientSide::sweep() {
   Micros now = clock_.now();
   for (std::size_t k = connections_.size(); k-- > 0;)  // from the end: closing moves the last one
     if (k < connections_.size()) connections_[k]->sweep(now);
-  if (accept_paused_ && !draining_ && !held_back_) {
+  if (accept_paused_ && !draining_ && !accepting_suspended_) {
     accept_paused_ = false;
     event_add(accept_event_.get(), nullptr);
   }
 }
 
-void ClientSide::touch(ClientConnection& c) {
+void ClientSide::mark_dirty(ClientConnection& c) {
   if (c.dirty_ || c.closed_) return;
   c.dirty_ = true;
   dirty_.push_back(&c);
@@ -630,20 +630,20 @@
   ClientConnection& c = *slot.connection;
   bulk_bytes_ -= std::exchange(slot.bulk, 0);
   if (pipe) {
-    ++piping_;
-    pipe->on_bytes([this, &c] { touch(c); });
+    ++streaming_values_;
+    pipe->on_bytes([this, &c] { mark_dirty(c); });
     slot.pipe = std::move(pipe);
   }
-  c.hold_less(slot.bytes);
+  c.release_bytes(slot.bytes);
   slot.bytes = text.size();
-  c.hold_more(slot.bytes);
+  c.reserve_bytes(slot.bytes);
   slot.text = std::move(text);
   slot.done = true;
-  touch(c);
+  mark_dirty(c);
 }
 
 void ClientSide::flush() {
-  // Flushing may parse held commands, whose answers make a connection dirty again.
+  // Flushing may parse held commands, whose answers mark a connection dirty again.
   for (std::size_t k = 0; k < dirty_.size(); ++k) {
     ClientConnection* c = dirty_[k];
     c->dirty_ = false;
@@ -654,21 +654,21 @@
 }
 
 void ClientSide::drain() {
-  // Those that could not be passed on before, or whose taker has ended meanwhile.
+  // Retries connections that could not be handed over, or whose receiving process has ended.
   if (draining_)
-    for (auto& c : connections_) touch(*c);
+    for (auto& c : connections_) mark_dirty(*c);
   if (draining_ || !listener_) return;
   if (accept_paused_) event_add(accept_event_.get(), nullptr);
-  if (!hand_over_) accept_some(4096);
+  if (!hand_over_) accept_pending(4096);
   draining_ = true;
   accept_event_.reset();
   listener_.reset();
-  // What is already in a socket's buffer was taken: it is read before the connection may close.
+  // Bytes already in a socket's buffer were accepted: they are read before the connection closes.
   for (std::size_t k = connections_.size(); k-- > 0;) {
     if (k >= connections_.size()) continue;
     ClientConnection& c = *connections_[k];
     if (!hand_over_ && c.reading_ && !c.eof_ && !c.lingering_) c.read();
-    touch(c);
+    mark_dirty(c);
   }
 }
 
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -1,4 +1,4 @@
-// The listener and the client connections: commands in, answers out in the order of the commands.
+// The listener and the client connections. Answers are written in the order of their commands.
 #pragma once
 
 #include <deque>
@@ -16,17 +16,17 @@
 
 class ClientConnection;
 
-/// The place of one command among the answers of its connection. The connection owns it; it is
-/// gone with the connection, of which the core is told, and once it is answered.
+/// One command's place in the order of answers of its connection. Owned by the connection and
+/// destroyed when the command is answered, or with the connection (the core is notified of that).
 struct ClientSlot final : ReplySink {
   ClientConnection* connection = nullptr;
   RequestId id = 0;
   CommandTag tag;
-  std::string text;                 ///< answer bytes that wait for those before them
-  std::shared_ptr<ValuePipe> pipe;  ///< what follows them
-  std::size_t bulk = 0;             ///< of the command's value, as counted in the pool
-  std::size_t bytes = 0;  ///< of the command, then of the answer, as counted in the budgets
-  bool done = false;      ///< the whole answer is in `text` and `pipe`
+  std::string text;                 ///< answer bytes, held back until earlier answers are written
+  std::shared_ptr<ValuePipe> pipe;  ///< streams the value behind `text`, if any
+  std::size_t bulk = 0;             ///< bytes of a large value, counted against bulk_bytes
+  std::size_t bytes = 0;            ///< of the command, then of the answer; counted in held_bytes
+  bool done = false;                ///< the complete answer is in `text` and `pipe`
 
   ~ClientSlot();
   void on_reply(const Request& request, Reply&& reply) override;
@@ -35,80 +35,82 @@
 class ClientSide {
  public:
   struct Limits {
-    std::size_t connections = 600;       ///< beyond, commands are refused as busy
-    std::size_t spare_connections = 50;  ///< so many beyond are accepted for that
+    std::size_t connections = 600;       ///< commands of connections beyond are refused as busy
+    std::size_t spare_connections = 50;  ///< accepted beyond `connections`, to refuse commands
     std::size_t held_bytes = 32u << 20;  ///< of commands and answers, all clients together
     std::size_t bulk_bytes = kMaxBulk;   ///< of values over kMaxValue that clients write
   };
 
-  /// Requests go to `core` with `carrier` for their attempts.
+  /// Passes requests to `core`, which sends their attempts through `carrier`.
   ClientSide(event_base* base, const TimeSource& clock, Core& core, Carrier& carrier,
              Limits limits);
   ~ClientSide();
 
   void set_limits(const Limits& limits) { limits_ = limits; }
-  /// Connections that begin from now on may speak the binary protocol where `rules` say so; those
-  /// that are open keep their protocol and take over the rest.
+  /// New connections may use the binary protocol if `rules` allow it. Open connections keep their
+  /// protocol and follow the other rules.
   void set_binary(const BinaryRules& rules) { rules_ = rules; }
-  void set_stats(StatSource stats) { stats_ = std::move(stats); }
-  /// Listens on `address`; false with the reason in `error`. `shared`: another process may listen
-  /// there too (SO_REUSEPORT), as the new one does beside the old.
+  void set_stats(StatsProvider stats) { stats_ = std::move(stats); }
+  /// Listens on `address`; on failure returns false with the reason in `error`. `shared`: another
+  /// process may listen there too (SO_REUSEPORT), as during an upgrade.
   bool listen(const sockaddr_in& address, std::string& error, bool shared = false);
-  /// Listens on a socket that another process has opened.
+  /// Listens on a socket that another process opened.
   void listen_on(Fd listener);
   int listener() const { return listener_.get(); }
-  /// Accepts nobody while it is held back; the connections that wait stay in the backlog.
+  /// While suspended no connection is accepted; waiting ones stay in the backlog.
   void suspend_accepting(bool on);
-  /// Takes over a connection that another process had, between two of its requests.
-  void adopt(Fd client) { admit(std::move(client), true); }
-  /// What drain() does with connections between requests instead of closing them: the function
-  /// passes one on, and tells whether it did.
+  /// Takes over a connection from another process, between two of its requests.
+  void adopt(Fd client) { add_connection(std::move(client), true); }
+  /// Passes a client connection to the next process. drain() uses it on connections between
+  /// requests instead of closing them.
   enum class HandOverResult { Sent, RetryLater, NotSent };
   using HandOver = std::function<HandOverResult(int client)>;
   void set_hand_over(HandOver hand_over) { hand_over_ = std::move(hand_over); }
-  /// Sends clients away: `mn` says no, and some time later, when the front knows, connections are
-  /// closed between requests. Whoever comes all the same is served.
+  /// Drains this router for an operator: `mn` answers with an error, and once the load balancer has
+  /// had time to notice, connections are closed between requests. New clients are still served.
   void set_operator_drain(bool on);
-  bool operator_drain() const { return away_; }
-  /// The port that listen() got; for tests that ask for port 0.
+  bool operator_drain() const { return operator_drain_; }
+  /// The port that listen() bound; for tests that listen on port 0.
   std::uint16_t port() const;
 
-  /// Writes what answer() and the others have left. Call once an iteration of the loop.
+  /// Writes pending output to the clients. Call once per iteration of the loop.
   void flush();
-  /// True when there is something to flush.
+  /// True when there is output to flush.
   bool dirty() const { return !dirty_.empty(); }
-  /// Planned end: takes the connections that wait in the backlog, stops listening and closes every
-  /// connection as soon as it is between requests.
+  /// Planned shutdown: accepts the connections that wait in the backlog, stops listening, and
+  /// closes every connection as soon as it is between requests.
   void drain();
-  /// The process's last step: what is written gets its way out before the sockets are closed.
+  /// The last step of the process: flushes the output and shuts the sockets down so that answers
+  /// already written are not destroyed by a reset.
   void shut_down();
   std::size_t connections() const { return connections_.size(); }
-  /// Large values on their way to clients.
-  std::size_t streaming_values() const { return piping_; }
+  /// Large values that are being streamed to clients.
+  std::size_t streaming_values() const { return streaming_values_; }
   struct Counts {
-    std::uint64_t meta = 0, binary = 0;  ///< connections that have said which they speak
+    std::uint64_t meta = 0, binary = 0;  ///< connections by protocol, counted at their first byte
   };
   const Counts& counts() const { return counts_; }
 
  private:
   friend class ClientConnection;
   friend struct ClientSlot;
-  /// Gives the whole final answer.
+  /// Sets the complete, final answer of a command.
   void answer(ClientSlot& slot, std::string text, std::shared_ptr<ValuePipe> pipe = nullptr);
   static void on_accept(evutil_socket_t, short, void* self);
   static void on_sweep(evutil_socket_t, short, void* self);
-  void accept_some(int most);
-  void admit(Fd fd, bool adopted);
-  /// Connections between requests are to be closed now.
+  void accept_pending(int max_count);
+  void add_connection(Fd fd, bool adopted);
+  /// True when connections between requests are to be closed.
   bool closing() const;
-  bool someone_waits() const;
-  /// Closes the connection that is missed least; false where all are in use.
-  bool make_room();
+  bool backlog_waits() const;
+  /// Closes the connection whose loss does least harm; false if all are in use.
+  bool evict_connection();
   void sweep();
-  /// Asks connections that are not read whether their client has ended them.
-  void look_for_ends();
-  static void on_look(evutil_socket_t, short, void* self);
-  void touch(ClientConnection& connection);
+  /// Schedules a check whether clients have closed connections that are not being read.
+  void schedule_disconnect_check();
+  static void on_disconnect_check(evutil_socket_t, short, void* self);
+  /// Marks the connection for the next flush().
+  void mark_dirty(ClientConnection& connection);
   void close(ClientConnection& connection);
 
   event_base* base_;
@@ -117,20 +119,20 @@
   Carrier& carrier_;
   Limits limits_;
   BinaryRules rules_;
-  StatSource stats_;
+  StatsProvider stats_;
   Fd listener_;
-  EventPtr accept_event_, sweep_event_, look_event_;
+  EventPtr accept_event_, sweep_event_, disconnect_check_event_;
   bool accept_paused_ = false;
   bool draining_ = false;
-  bool held_back_ = false;
-  bool away_ = false;
-  Micros away_since_ = 0;
+  bool accepting_suspended_ = false;
+  bool operator_drain_ = false;
+  Micros operator_drain_since_ = 0;
   HandOver hand_over_;
   std::vector<std::unique_ptr<ClientConnection>> connections_;
-  std::vector<std::unique_ptr<ClientConnection>> closed_;  // freed at the end of an iteration
+  std::vector<std::unique_ptr<ClientConnection>> closed_;  // destroyed by the next flush()
   std::vector<ClientConnection*> dirty_;
   std::size_t held_bytes_ = 0, bulk_bytes_ = 0;
-  std::size_t piping_ = 0;
+  std::size_t streaming_values_ = 0;
   Counts counts_;
   std::unique_ptr<char[]> scratch_;
 };
--- a/src/net/frontend.hpp
+++ b/src/net/frontend.hpp
@@ -1,4 +1,4 @@
-// A further front on the router's loop, beside the memcached listener.
+// Interface of a further listener on the router's event loop, beside the memcached one.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 class Frontend {
  public:
   virtual ~Frontend() = default;
-  /// Writes what the core's last turn has left. Called once an iteration of the loop.
+  /// Writes the output of the core's last turn. Called once per iteration of the loop.
   virtual void flush() = 0;
-  /// Planned end: takes nothing new, finishes what is open.
+  /// Planned shutdown: accepts nothing new and finishes what is open. Called repeatedly.
   virtual void drain() = 0;
-  /// Nothing is open any more.
+  /// True when nothing is open any more.
   virtual bool drained() const = 0;
-  /// Counts since the start, for STAT and the log; names begin with the front's own.
+  /// Counts since the start, for STAT and the log. Names begin with the frontend's own prefix.
   virtual std::vector<std::pair<std::string, std::uint64_t>> counters() const = 0;
 };
 
--- a/src/net/list_persistence.hpp
+++ b/src/net/list_persistence.hpp
@@ -1,4 +1,4 @@
-// Keeps the list past the process's end.
+// Interface of the storage that keeps the host list across restarts of the process.
 #pragma once
 
 #include <string>
@@ -12,11 +12,12 @@
 class ListPersistence {
  public:
   virtual ~ListPersistence() = default;
-  /// Discovery has told the list, or that nothing has changed; whole, and as discovery has it.
+  /// Discovery has sent the list or confirmed that it is unchanged. `list` is the full list,
+  /// without operator overrides.
   virtual void on_list_confirmed(const HostList& list) = 0;
-  /// Carries on with what waits for the disk; called every half second.
+  /// Continues writes that wait for the disk; called every half second.
   virtual void continue_writing() = 0;
-  /// For STAT and the log; names begin with `store_`.
+  /// For STAT and the log. Names begin with `store_`.
   virtual std::vector<std::pair<std::string, std::string>> stats() const = 0;
 };
 
