--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -4,7 +4,7 @@
 #include <atomic>
 #include <set>
 
-#include "talk.hpp"
+#include "scripted_peers.hpp"
 
 namespace arrowfork::test {
 namespace {
--- a/tests/binary/memcached_client_test.cpp
+++ b/tests/binary/memcached_client_test.cpp
@@ -1,5 +1,5 @@
-// A real binary client that others wrote, libmemcached, reading and writing through the router,
-// with cache servers of both protocols behind it.
+// The binary client of libmemcached reads and writes through the router, with cache servers of
+// both protocols behind it.
 #include <libmemcached/memcached.h>
 
 #include <atomic>
@@ -11,7 +11,7 @@
 namespace arrowfork::test {
 namespace {
 
-/// Cache servers on a loop and a thread of their own.
+/// Cache servers of the rig on their own event loop and thread.
 class RigServers {
  public:
   RigServers(int meta, int binary) {
@@ -49,7 +49,7 @@
     if (thread_.joinable()) thread_.join();
   }
   std::vector<std::string> hosts;
-  std::uint64_t meta_served = 0, binary_served = 0, unreadable = 0;  // once ended
+  std::uint64_t meta_served = 0, binary_served = 0, unreadable = 0;  // valid after end()
 
  private:
   std::atomic<bool> end_{false};
@@ -86,7 +86,7 @@
   memcached_st* memc_;
 };
 
-TEST_F(Libmemcached, ReadsBackWhatItWroteOverServersOfBothProtocols) {
+TEST_F(Libmemcached, ReadsReturnWrittenValuesOverServersOfBothProtocols) {
   for (std::uint32_t k = 0; k < 60; ++k) {
     std::string key = "key" + std::to_string(k);
     std::string value(k * 997, static_cast<char>(k));
@@ -103,7 +103,7 @@
   EXPECT_EQ(servers_.unreadable, 0u);
 }
 
-TEST_F(Libmemcached, ReadsManyKeysAtOnceOverQuietCommands) {
+TEST_F(Libmemcached, MultiGetWithQuietCommandsReturnsAllKeys) {
   std::vector<std::string> keys;
   std::vector<const char*> names;
   std::vector<std::size_t> sizes;
@@ -122,7 +122,7 @@
   EXPECT_EQ(count, keys.size());
 }
 
-TEST_F(Libmemcached, IsToldTheVersionTheFiguresAndWhatIsNotSupported) {
+TEST_F(Libmemcached, VersionAndStatsAreAnsweredAndDeleteIsRejected) {
   ASSERT_EQ(set("a", "b", 0), MEMCACHED_SUCCESS);
   memcached_return_t result;
   memcached_stat_st* stats = memcached_stat(memc_, nullptr, &result);
@@ -130,7 +130,7 @@
   memcached_stat_free(memc_, stats);
   EXPECT_NE(memcached_delete(memc_, "a", 1, 0), MEMCACHED_SUCCESS);
   std::uint32_t flags = 0;
-  EXPECT_EQ(get("a", flags, result), "b");  // the connection has gone on, and nothing was deleted
+  EXPECT_EQ(get("a", flags, result), "b");  // the connection still works, and nothing was deleted
 }
 
 }  // namespace
--- a/tests/binary/pairs_test.cpp
+++ b/tests/binary/pairs_test.cpp
@@ -1,27 +1,27 @@
-// One suite over all four pairs of client and server protocol: the same is seen at both ends, and
-// the module is told and decides the same, to the byte.
+// Runs each test over all four pairs of client and server protocol. Both ends must see the same
+// results, and the recorded inputs and decisions of the module must be equal to the byte.
 #include <list>
 
 #include "../drill_lines.hpp"
-#include "talk.hpp"
+#include "scripted_peers.hpp"
 
 namespace arrowfork::test {
 namespace {
 
 using namespace std::string_literals;
 
-/// Two servers and one client of a pair of protocols, with a router between them.
-class Pair {
+/// Two servers of one protocol and a client of one protocol, with a router between them.
+class ProtocolPair {
  public:
-  Pair(Speaks client, Speaks server) : client_talk(client), server(server) {
+  ProtocolPair(WireProtocol client, WireProtocol server) : scripted_client(client), server(server) {
     config_.hosts = {host_json("s-1", a_.address()), host_json("s-2", b_.address())};
     config_.mode = "automatic";
-    config_.discovery = discovery_.address();  // silent: the list stays as known
+    config_.discovery = discovery_.address();  // never answers: the list stays as configured
     config_.binary = R"({"read_class":"read","write_class":"put","idempotency":"cas",
       "server_idempotency":"cas","servers":[{"id":")" +
-                     std::string(server == Speaks::Binary ? "s-*" : "none-*") + R"("}]})";
+                     std::string(server == WireProtocol::Binary ? "s-*" : "none-*") + R"("}]})";
   }
-  /// Writes go to a class that must not run twice.
+  /// Binary clients write with a class that must not run twice.
   void write_once() { config_.binary.replace(config_.binary.find("\"put\""), 5, "\"pay\""); }
   void no_servers() { config_.hosts.clear(); }
   void start() {
@@ -31,15 +31,15 @@
   struct Arrival {
     TestConnection* link;
     std::size_t server;
-    Asked asked;
+    ReceivedCommand asked;
   };
-  /// The next command that comes to a server, on a new connection or an open one.
+  /// Waits for the next command at a server, on a new connection or an open one.
   Arrival arrival() {
     while (true) {
       std::vector<pollfd> fds = {{a_.fd(), POLLIN, 0}, {b_.fd(), POLLIN, 0}};
       for (auto& one : links_) fds.push_back({one.link.fd(), POLLIN, 0});
       if (::poll(fds.data(), fds.size(), kTestTimeoutMs) <= 0) {
-        ADD_FAILURE() << "nothing comes";
+        ADD_FAILURE() << "timeout: received nothing";
         return {nullptr, 0, {}};
       }
       std::size_t k = 2;
@@ -49,10 +49,10 @@
         if (fds[who].revents) links_.push_back({(who ? b_ : a_).accept(), who});
     }
   }
-  void forget(TestConnection* link) {
+  void remove_connection(TestConnection* link) {
     links_.remove_if([&](const Open& one) { return &one.link == link; });
   }
-  bool nothing_comes(int ms) const {
+  bool nothing_arrives(int ms) const {
     std::vector<pollfd> fds = {{a_.fd(), POLLIN, 0}, {b_.fd(), POLLIN, 0}};
     for (auto& one : links_) fds.push_back({one.link.fd(), POLLIN, 0});
     return ::poll(fds.data(), fds.size(), ms) == 0;
@@ -63,8 +63,8 @@
   }
 
   TestClock clock;
-  ClientTalk client_talk;
-  ServerTalk server;
+  ScriptedClient scripted_client;
+  ScriptedServer server;
   TestConnection client;
 
  private:
@@ -79,13 +79,13 @@
   std::list<Open> links_;
 };
 
-void over_all_pairs(const std::function<void(Pair&)>& play) {
+void run_for_all_pairs(const std::function<void(ProtocolPair&)>& scenario) {
   std::string first;
-  for (Speaks client : {Speaks::Meta, Speaks::Binary})
-    for (Speaks server : {Speaks::Meta, Speaks::Binary}) {
+  for (WireProtocol client : {WireProtocol::Meta, WireProtocol::Binary})
+    for (WireProtocol server : {WireProtocol::Meta, WireProtocol::Binary}) {
       SCOPED_TRACE(std::string(name_of(client)) + " client, " + name_of(server) + " server");
-      Pair pair(client, server);
-      play(pair);
+      ProtocolPair pair(client, server);
+      scenario(pair);
       std::string record = pair.record();
       EXPECT_NE(record.find("request"), record.npos);
       if (first.empty()) first = record;
@@ -96,46 +96,46 @@
 const std::string kValue = "a value\r\nEN\r\n\0\x80\x81 with bytes of any kind"s;
 const std::string kReceipt = "00f1e2d3c4b5a697", kIdempotency = "5c0f6e1a2b3d4c59";
 
-TEST(Pairs, AReadsValueAndFlagsComeBackIntact) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, ReadReturnsValueAndFlagsUnchanged) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
     for (std::uint32_t flags : {0u, 5u, 0xffffffffu}) {
       std::string key = "key" + std::to_string(flags);
-      p.client_talk.get(p.client, key, key);
+      p.scripted_client.get(p.client, key, key);
       auto [link, who, asked] = p.arrival();
       EXPECT_FALSE(asked.write);
       EXPECT_EQ(asked.key, key);
       p.server.serve(*link, asked, kValue, flags);
-      Told told = p.client_talk.told(p.client);
-      EXPECT_EQ(told.what, "value");
-      EXPECT_EQ(told.text, kValue);
-      EXPECT_EQ(told.flags, flags);
+      ClientReply reply = p.scripted_client.read_reply(p.client);
+      EXPECT_EQ(reply.what, "value");
+      EXPECT_EQ(reply.text, kValue);
+      EXPECT_EQ(reply.flags, flags);
     }
   });
 }
 
-TEST(Pairs, TheLargestValueAndAnEmptyOnePass) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, LargestAndEmptyValuesAreForwarded) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
     for (std::size_t size : {std::size_t{0}, kMaxValue}) {
       std::string value(size, 'v'), id = "i" + std::to_string(size);
-      p.client_talk.get(p.client, "key", id);
+      p.scripted_client.get(p.client, "key", id);
       auto [link, who, asked] = p.arrival();
       p.server.serve(*link, asked, value, 1);
-      EXPECT_EQ(p.client_talk.told(p.client).text, value);
-      p.client_talk.set(p.client, "put", "key", value, 1, kIdempotency, "w" + id);
+      EXPECT_EQ(p.scripted_client.read_reply(p.client).text, value);
+      p.scripted_client.set(p.client, "put", "key", value, 1, kIdempotency, "w" + id);
       auto [to, whom, written] = p.arrival();
       EXPECT_EQ(written.value, value);
       p.server.store(*to, written, kReceipt);
-      EXPECT_EQ(p.client_talk.told(p.client).what, "receipt");
+      EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "receipt");
     }
   });
 }
 
-TEST(Pairs, AWriteArrivesWholeAndItsReceiptComesBack) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, WriteIsForwardedCompletelyAndItsReceiptReturned) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
-    p.client_talk.set(p.client, "put", "key", kValue, 77, kIdempotency, "w1");
+    p.scripted_client.set(p.client, "put", "key", kValue, 77, kIdempotency, "w1");
     auto [link, who, asked] = p.arrival();
     EXPECT_TRUE(asked.write);
     EXPECT_EQ(asked.key, "key");
@@ -143,116 +143,116 @@
     EXPECT_EQ(asked.flags, 77u);
     EXPECT_EQ(asked.idempotency, kIdempotency);
     p.server.store(*link, asked, kReceipt);
-    Told told = p.client_talk.told(p.client);
-    EXPECT_EQ(told.what, "receipt");
-    EXPECT_EQ(told.text, kReceipt);
+    ClientReply reply = p.scripted_client.read_reply(p.client);
+    EXPECT_EQ(reply.what, "receipt");
+    EXPECT_EQ(reply.text, kReceipt);
   });
 }
 
-TEST(Pairs, BusyAndResetGoElsewhere) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, BusyAndResetAreRetriedAtTheOtherServer) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
-    p.client_talk.get(p.client, "key", "b1");
+    p.scripted_client.get(p.client, "key", "b1");
     auto [first, who, asked] = p.arrival();
     p.server.busy(*first, asked);
     auto [second, other, again] = p.arrival();
     EXPECT_NE(who, other);
     EXPECT_EQ(again.key, "key");
     p.server.serve(*second, again, "fine", 0);
-    EXPECT_EQ(p.client_talk.told(p.client).text, "fine");
-    p.client_talk.get(p.client, "key", "b2");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine");
+    p.scripted_client.get(p.client, "key", "b2");
     auto [third, which, asked2] = p.arrival();
     third->send_reset();
-    p.forget(third);
+    p.remove_connection(third);
     auto [fourth, spare, again2] = p.arrival();
     EXPECT_NE(which, spare);
     p.server.serve(*fourth, again2, "fine too", 0);
-    EXPECT_EQ(p.client_talk.told(p.client).text, "fine too");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine too");
   });
 }
 
-TEST(Pairs, AWriteThatMustNotRunTwiceFailsWhenItMayHaveRun) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, NonRepeatableWriteFailsIfItMayHaveRun) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.write_once();
     p.start();
-    p.client_talk.set(p.client, "pay", "key", "v", 0, "", "p1");
+    p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "p1");
     auto [link, who, asked] = p.arrival();
     link->send_reset();
-    p.forget(link);
-    EXPECT_EQ(p.client_talk.told(p.client).what, "failed");
-    EXPECT_TRUE(p.nothing_comes(50));
+    p.remove_connection(link);
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
+    EXPECT_TRUE(p.nothing_arrives(50));
   });
 }
 
-TEST(Pairs, AKeyedWriteIsRepeatedUnderItsKey) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, KeyedWriteIsRetriedWithItsIdempotencyKey) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
-    p.client_talk.set(p.client, "put", "key", "v", 0, kIdempotency, "k1");
+    p.scripted_client.set(p.client, "put", "key", "v", 0, kIdempotency, "k1");
     auto [link, who, asked] = p.arrival();
     link->send_reset();
-    p.forget(link);
+    p.remove_connection(link);
     auto [second, other, again] = p.arrival();
     EXPECT_NE(who, other);
     EXPECT_EQ(again.idempotency, kIdempotency);
     p.server.store(*second, again, kReceipt);
-    EXPECT_EQ(p.client_talk.told(p.client).text, kReceipt);
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, kReceipt);
   });
 }
 
-TEST(Pairs, WithNoServerARequestIsRefusedAndToldWhenToComeAgain) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, RequestWithoutServersIsRefusedWithARetryTime) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.no_servers();
     p.start();
-    p.client_talk.get(p.client, "key", "n1");
-    Told told = p.client_talk.told(p.client);
-    EXPECT_EQ(told.what, "refused");
-    EXPECT_GT(told.wait_ms, 0);
+    p.scripted_client.get(p.client, "key", "n1");
+    ClientReply reply = p.scripted_client.read_reply(p.client);
+    EXPECT_EQ(reply.what, "refused");
+    EXPECT_GT(reply.wait_ms, 0);
   });
 }
 
-TEST(Pairs, ASilentServersRequestIsAnsweredInTimeAndTheLateAnswerDropped) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, RequestAtASilentServerFailsInTimeAndTheLateAnswerIsDropped) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.write_once();
     p.start();
-    p.client_talk.set(p.client, "pay", "key", "v", 0, "", "s1");
+    p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "s1");
     auto [link, who, asked] = p.arrival();
-    p.clock.pass(21 * kSecond);
-    EXPECT_EQ(p.client_talk.told(p.client).what, "failed");
-    p.client_talk.get(p.client, "key", "s2");
-    p.server.store(*link, asked, kReceipt);  // late; the connection has been given up
-    p.forget(link);
+    p.clock.advance(21 * kSecond);
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
+    p.scripted_client.get(p.client, "key", "s2");
+    p.server.store(*link, asked, kReceipt);  // late; the router has abandoned the connection
+    p.remove_connection(link);
     auto [second, other, again] = p.arrival();
     EXPECT_FALSE(again.write);
     p.server.serve(*second, again, "fine", 0);
-    EXPECT_EQ(p.client_talk.told(p.client).text, "fine");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine");
   });
 }
 
-TEST(Pairs, AnswersComeInTheOrderOfTheCommands) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, AnswersKeepTheOrderOfTheCommands) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.start();
-    p.client_talk.get(p.client, "one", "o1");
+    p.scripted_client.get(p.client, "one", "o1");
     auto [first, who, one] = p.arrival();
-    p.client_talk.get(p.client, "two", "o2");
+    p.scripted_client.get(p.client, "two", "o2");
     auto [second, other, two] = p.arrival();
     EXPECT_EQ(one.key, "one");
     EXPECT_EQ(two.key, "two");
     p.server.serve(*second, two, "2", 0);
     EXPECT_TRUE(p.client.stays_silent(50));
     p.server.serve(*first, one, "1", 0);
-    EXPECT_EQ(p.client_talk.told(p.client).text, "1");
-    EXPECT_EQ(p.client_talk.told(p.client).text, "2");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "1");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "2");
   });
 }
 
-TEST(Pairs, ErrorsAreFailures) {
-  over_all_pairs([](Pair& p) {
+TEST(Pairs, ServerErrorIsReportedAsFailure) {
+  run_for_all_pairs([](ProtocolPair& p) {
     p.write_once();
     p.start();
-    p.client_talk.set(p.client, "pay", "key", "v", 0, "", "e1");
+    p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "e1");
     auto [link, who, asked] = p.arrival();
     p.server.fail(*link, asked);
-    EXPECT_EQ(p.client_talk.told(p.client).what, "failed");
+    EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
   });
 }
 
--- a/tests/binary/talk.hpp
+++ b/tests/binary/scripted_peers.hpp
@@ -1,5 +1,5 @@
-// Clients and cache servers of either protocol over one blocking connection, so that a test can be
-// written once for both.
+// Scripted clients and cache servers of either protocol over one blocking connection, so that one
+// test covers both protocols.
 #pragma once
 
 #include <atomic>
@@ -10,20 +10,20 @@
 
 namespace arrowfork::test {
 
-enum class Speaks { Meta, Binary };
-inline const char* name_of(Speaks s) { return s == Speaks::Binary ? "binary" : "meta"; }
+enum class WireProtocol { Meta, Binary };
+inline const char* name_of(WireProtocol p) { return p == WireProtocol::Binary ? "binary" : "meta"; }
 
-/// Stands still until the test moves it.
+/// A clock that stands still until the test advances it.
 class TestClock final : public TimeSource {
  public:
   Micros now() const override { return now_; }
-  void pass(Micros span) { now_ += span; }
+  void advance(Micros span) { now_ += span; }
 
  private:
   std::atomic<Micros> now_{1'000'000 * kSecond};
 };
 
-/// The size of the first packet in `text`; 0 where none is whole.
+/// The size of the first packet in `text`; 0 if none is complete.
 inline std::size_t complete_packet_size(std::string_view text) {
   if (text.size() < binary::kHeader) return 0;
   std::size_t body = 0;
@@ -69,22 +69,22 @@
   return binary::response(c.opcode, binary::status::kOk, c.opaque, value, c.key, flags);
 }
 
-/// What a server was asked.
-struct Asked {
+/// A command that a server received.
+struct ReceivedCommand {
   bool write = false;
   std::string key, value, idempotency;
   std::uint32_t flags = 0;
-  std::string id;          // meta
-  binary::Command packet;  // binary
+  std::string id;          // meta protocol only
+  binary::Command packet;  // binary protocol only
 };
 
-class ServerTalk {
+class ScriptedServer {
  public:
-  explicit ServerTalk(Speaks speaks) : speaks_(speaks) {}
+  explicit ScriptedServer(WireProtocol protocol) : protocol_(protocol) {}
 
-  Asked read(TestConnection& link) const {
-    Asked a;
-    if (speaks_ == Speaks::Binary) {
+  ReceivedCommand read(TestConnection& link) const {
+    ReceivedCommand a;
+    if (protocol_ == WireProtocol::Binary) {
       a.packet = command_of(read_packet(link));
       a.write = binary::is_write(a.packet.opcode);
       a.key = a.packet.key;
@@ -110,63 +110,64 @@
     if (c.value) a.value = *c.value;
     return a;
   }
-  void serve(TestConnection& link, const Asked& a, const std::string& value,
+  void serve(TestConnection& link, const ReceivedCommand& a, const std::string& value,
              std::uint32_t flags) const {
-    if (speaks_ == Speaks::Binary)
+    if (protocol_ == WireProtocol::Binary)
       link.write(served(a.packet, value, flags));
     else
       link.write(
           value_answer(a.id, value)
               .insert(3 + std::to_string(value.size()).size(), " f" + std::to_string(flags)));
   }
-  void store(TestConnection& link, const Asked& a, const std::string& receipt) const {
-    if (speaks_ == Speaks::Binary)
+  void store(TestConnection& link, const ReceivedCommand& a, const std::string& receipt) const {
+    if (protocol_ == WireProtocol::Binary)
       link.write(binary::response(a.packet.opcode, binary::status::kOk, a.packet.opaque, {}, {}, 0,
                                   cas_of(receipt)));
     else
       link.write("HD O" + a.id + " c" + receipt + "\r\n");
   }
-  void busy(TestConnection& link, const Asked& a) const {
+  void busy(TestConnection& link, const ReceivedCommand& a) const {
     error(link, a, binary::status::kBusy, "busy 9");
   }
-  void fail(TestConnection& link, const Asked& a) const {
+  void fail(TestConnection& link, const ReceivedCommand& a) const {
     error(link, a, binary::status::kInternal, "failed");
   }
 
  private:
-  void error(TestConnection& link, const Asked& a, std::uint16_t status,
+  void error(TestConnection& link, const ReceivedCommand& a, std::uint16_t status,
              const std::string& text) const {
-    if (speaks_ == Speaks::Binary)
+    if (protocol_ == WireProtocol::Binary)
       link.write(binary::response(a.packet.opcode, status, a.packet.opaque, text));
     else
       link.write("SERVER_ERROR " + text + "\r\n");
   }
-  Speaks speaks_;
+  WireProtocol protocol_;
 };
 
-/// What a client was told, in words that both protocols have.
-struct Told {
-  std::string what;  ///< "value", "receipt", "refused", "failed", "missed", or what can't be read
+/// An answer to a client, in terms common to both protocols.
+struct ClientReply {
+  /// "value", "receipt", "refused", "failed", "missed", "unreadable" or "status N"
+  std::string what;
   std::string text;
   std::uint32_t flags = 0;
   long wait_ms = 0;
 };
 
-class ClientTalk {
+class ScriptedClient {
  public:
-  explicit ClientTalk(Speaks speaks) : speaks_(speaks) {}
+  explicit ScriptedClient(WireProtocol protocol) : protocol_(protocol) {}
 
   void get(TestConnection& link, const std::string& key, const std::string& id) {
-    if (speaks_ == Speaks::Binary)
+    if (protocol_ == WireProtocol::Binary)
       link.write(packet(binary::Opcode::GetK, ++opaque_, key));
     else
       link.write("mg " + key + " v f O" + id + " Pc=read,t=acme,d=20000\r\n");
   }
-  /// `idempotency`: 16 hex digits or none.
+  /// `idempotency`: the idempotency key, 16 hex digits or empty.
   void set(TestConnection& link, const std::string& type, const std::string& key,
            const std::string& value, std::uint32_t flags, const std::string& idempotency,
            const std::string& id) {
-    if (speaks_ == Speaks::Binary) {
+    if (protocol_ == WireProtocol::Binary) {
       link.write(packet(binary::Opcode::Set, ++opaque_, key, value, flags, cas_of(idempotency)));
       return;
     }
@@ -176,9 +177,9 @@
     if (!idempotency.empty()) line += ",k=" + idempotency;
     link.write(line + "\r\n" + value + "\r\n");
   }
-  Told told(TestConnection& link) {
-    Told t;
-    if (speaks_ == Speaks::Meta) {
+  ClientReply read_reply(TestConnection& link) {
+    ClientReply t;
+    if (protocol_ == WireProtocol::Meta) {
       AnswerReader reader(&no_fields_);
       std::string text = link.line();
       if (text.starts_with("VA ")) text += link.bytes(std::strtoul(&text[3], nullptr, 10) + 2);
@@ -203,7 +204,7 @@
   }
 
  private:
-  Speaks speaks_;
+  WireProtocol protocol_;
   const std::vector<robinseam::ReportField> no_fields_;
   std::uint32_t opaque_ = 0, answered_ = 0;
 };
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// Scripted peers on ephemeral loopback ports, and a router on a thread of its own. The test plays
-// client, cache server and discovery with blocking sockets that give up after kPatience.
+// Scripted peers on ephemeral loopback ports, and a router on its own thread. The test acts as
+// client, cache server and discovery over blocking sockets that time out after kTestTimeoutMs.
 #pragma once
 
 #include <fcntl.h>
@@ -19,7 +19,7 @@
 
 constexpr int kTestTimeoutMs = 20'000;
 
-/// One connection, used by blocking calls.
+/// One connection with blocking calls.
 class TestConnection {
  public:
   explicit TestConnection(Fd fd = Fd()) : fd_(std::move(fd)) {
@@ -52,7 +52,7 @@
       text.remove_prefix(static_cast<std::size_t>(put));
     }
   }
-  /// The next line with its end; what came before an end of the stream otherwise.
+  /// The next line including its line end; at the end of the stream, the bytes that were left.
   std::string line() {
     while (true) {
       std::size_t end = buffer_.find('\n');
@@ -60,7 +60,7 @@
       if (!fill()) return cut(buffer_.size());
     }
   }
-  /// Everything up to the peer's end.
+  /// Everything until the peer closes.
   std::string read_to_end() {
     while (fill()) {
     }
@@ -71,12 +71,12 @@
       if (!fill()) return cut(buffer_.size());
     return cut(count);
   }
-  /// True when the peer ends the connection, orderly or not, with nothing unread.
+  /// Waits for the peer to close, orderly or by a reset; false if it sent anything before.
   bool is_closed() {
     if (!buffer_.empty()) return false;
     return !fill() && !timed_out_;
   }
-  /// True when nothing comes for `ms`.
+  /// True if nothing is received for `ms`.
   bool stays_silent(int ms) const {
     if (!buffer_.empty()) return false;
     pollfd p{fd_.get(), POLLIN, 0};
@@ -88,7 +88,7 @@
     char data[65536];
     ssize_t got = ::recv(fd_.get(), data, sizeof data, 0);
     timed_out_ = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    if (timed_out_) ADD_FAILURE() << "nothing came";
+    if (timed_out_) ADD_FAILURE() << "timeout: received nothing";
     if (got <= 0) return false;
     buffer_.append(data, static_cast<std::size_t>(got));
     return true;
@@ -118,7 +118,7 @@
   TestConnection accept() {
     pollfd p{fd_.get(), POLLIN, 0};
     if (::poll(&p, 1, kTestTimeoutMs) != 1) {
-      ADD_FAILURE() << "nobody connects";
+      ADD_FAILURE() << "timeout: no connection";
       return TestConnection();
     }
     return TestConnection(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
@@ -128,37 +128,38 @@
     return ::poll(&p, 1, ms) == 0;
   }
   int fd() const { return fd_.get(); }
-  void close() { fd_.reset(); }  ///< from here on connects are refused
+  void close() { fd_.reset(); }  ///< later connects are refused
 
  private:
   Fd fd_;
   std::uint16_t port_ = 0;
 };
 
-/// The peer that somebody connects to first; its index.
+/// Waits for a connection to any of `peers`; returns the index of the first one connected to.
 inline std::size_t first_contacted(const std::vector<Peer*>& peers) {
   std::vector<pollfd> fds;
   for (Peer* p : peers) fds.push_back({p->fd(), POLLIN, 0});
-  if (::poll(fds.data(), fds.size(), kTestTimeoutMs) <= 0) ADD_FAILURE() << "nobody connects";
+  if (::poll(fds.data(), fds.size(), kTestTimeoutMs) <= 0)
+    ADD_FAILURE() << "timeout: no connection";
   for (std::size_t k = 0; k < fds.size(); ++k)
     if (fds[k].revents) return k;
   return 0;
 }
 
-/// The size of the first line in `text`, its end included; 0 where none is whole.
+/// The size of the first line in `text`, including its line end; 0 if none is complete.
 inline std::size_t complete_line_size(std::string_view text) { return text.find('\n') + 1; }
 
-/// A cache server on a thread of its own that answers each line, or what else `whole` finds in its
-/// bytes, with what `answer` makes of it. An empty answer ends the connection.
+/// A cache server on its own thread. Answers each command with the result of `answer`; an empty one
+/// closes the connection. `complete_size` gives the size of the first complete command, or 0.
 class ServingPeer {
  public:
   explicit ServingPeer(std::function<std::string(const std::string&)> answer,
-                       std::size_t (*whole)(std::string_view) = complete_line_size) {
+                       std::size_t (*complete_size)(std::string_view) = complete_line_size) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) ADD_FAILURE() << "pipe";
     end_ = Fd(ends[1]);
     address_ = peer_.address();
-    thread_ = std::thread([this, answer = std::move(answer), whole, in = ends[0]] {
+    thread_ = std::thread([this, answer = std::move(answer), complete_size, in = ends[0]] {
       Fd end(in);
       std::vector<std::pair<Fd, std::string>> links;
       while (true) {
@@ -177,7 +178,7 @@
           }
           unread.append(data, static_cast<std::size_t>(got));
           bool open = true;
-          for (std::size_t size; open && (size = whole(unread)) != 0;) {
+          for (std::size_t size; open && (size = complete_size(unread)) != 0;) {
             std::string text = answer(unread.substr(0, size));
             unread.erase(0, size);
             open = !text.empty();
@@ -228,8 +229,8 @@
   bool may_cancel = true;
   long long keepalive_us = 15'000'000;
   long long dial_timeout_us = 75'000;
-  std::string binary;       // the object, where there is one
-  std::string origin_kind;  // aside mode, with this kind as its origin
+  std::string binary;       // JSON object of the setting `binary`; empty for none
+  std::string origin_kind;  // enables cache-aside mode, with servers of this kind as the origin
   std::string control, state_dir;
   int memory_mb = 128;
 
@@ -265,7 +266,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Takes one call and answers it; its request line.
+/// Accepts one call to discovery and answers it; returns its request line.
 inline std::string answer_next_call(Peer& discovery, const std::string& response) {
   TestConnection call = discovery.accept();
   std::string request = call.line();
@@ -274,49 +275,50 @@
   return request;
 }
 
-/// A router on a thread of its own, ended without a drain unless terminate() is called.
+/// A router on its own thread. Ends without a drain unless terminate() is called.
 class RunningRouter {
  public:
   using Attach = std::function<std::unique_ptr<Frontend>(event_base*, const TimeSource&, Router&)>;
-  /// `clock` and `tap` outlive it. `attach` makes a further front.
+  /// `clock` and `tap` must outlive it. `attach` creates a frontend.
   explicit RunningRouter(const ConfigText& config, const TimeSource* clock = nullptr,
                          SeamTap* tap = nullptr, Attach attach = nullptr) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) ADD_FAILURE() << "pipe";
-    orders_ = Fd(ends[1]);
+    command_pipe_ = Fd(ends[1]);
     std::promise<std::uint16_t> port;
     auto known = port.get_future();
     thread_ = std::thread([this, config, in = ends[0], &port, clock, tap, attach] {
-      Fd order(in);
+      Fd command_end(in);
       EventBasePtr base(event_base_new());
       Clock own;
       Router router(base.get(), parse_config(config.text()), clock ? *clock : own);
       router.core().set_tap(tap);
-      std::unique_ptr<Frontend> front;
-      if (attach) front = attach(base.get(), clock ? *clock : own, router);
-      if (front) router.add_frontend(*front);
+      std::unique_ptr<Frontend> frontend;
+      if (attach) frontend = attach(base.get(), clock ? *clock : own, router);
+      if (frontend) router.add_frontend(*frontend);
       std::string error;
       if (!router.listen(error)) ADD_FAILURE() << error;
-      struct Told {
+      struct Context {
         int fd;
         Router* router;
         RunningRouter* self;
-      } told{order.get(), &router, this};
-      auto obey = [](evutil_socket_t fd, short, void* self) {
+      } context{command_end.get(), &router, this};
+      auto on_command = [](evutil_socket_t fd, short, void* self) {
         char what = 'q';
         ssize_t got = ::read(fd, &what, 1);
-        auto* t = static_cast<Told*>(self);
+        auto* context = static_cast<Context*>(self);
         if (got == 1 && what == 't')
-          t->router->stop();
+          context->router->stop();
         else if (got == 1 && what == 'h')
-          t->self->reload_now(*t->router);
+          context->self->reload_now(*context->router);
         else if (got == 1 && what == 'c')
-          t->self->what_(), t->self->reloaded_->set_value();
+          context->self->loop_task_(), context->self->command_done_->set_value();
         else
-          t->router->quit();
+          context->router->quit();
       };
-      EventPtr orders(event_new(base.get(), order.get(), EV_READ | EV_PERSIST, obey, &told));
-      event_add(orders.get(), nullptr);
+      EventPtr command_event(
+          event_new(base.get(), command_end.get(), EV_READ | EV_PERSIST, on_command, &context));
+      event_add(command_event.get(), nullptr);
       control_port_ = router.control_port();
       port.set_value(router.port());
       router.run();
@@ -325,58 +327,58 @@
   }
   ~RunningRouter() {
     if (!thread_.joinable()) return;
-    order('q');
+    send_command('q');
     thread_.join();
   }
   TestConnection client() const { return TestConnection::to(port_); }
   std::uint16_t port() const { return port_; }
   std::uint16_t control_port() const { return control_port_; }
-  /// The whole answer to a call of the control address.
+  /// The complete answer to a call of the control address.
   std::string control(const std::string& method, const std::string& path) const {
     TestConnection link = TestConnection::to(control_port_);
     link.write(method + " " + path + " HTTP/1.1\r\nHost: n0\r\n\r\n");
     return link.read_to_end();
   }
-  /// As SIGHUP with `text` in the file; comes back when it has been dealt with.
+  /// As SIGHUP with `text` in the configuration file; returns when the reload has been tried.
   void reload(const std::string& text) {
     reload_text_ = text;
     std::promise<void> done;
-    reloaded_ = &done;
-    order('h');
+    command_done_ = &done;
+    send_command('h');
     done.get_future().wait();
   }
-  /// Runs `what` on the router's thread and comes back when that is done.
+  /// Runs `what` on the router's thread and returns when it is done.
   void run_in_loop(std::function<void()> what) {
-    what_ = std::move(what);
+    loop_task_ = std::move(what);
     std::promise<void> done;
-    reloaded_ = &done;
-    order('c');
+    command_done_ = &done;
+    send_command('c');
     done.get_future().wait();
   }
   /// As SIGTERM.
-  void terminate() { order('t'); }
+  void terminate() { send_command('t'); }
   void wait_for_end() { thread_.join(); }
 
  private:
-  void order(char what) {
-    if (::write(orders_.get(), &what, 1) != 1) ADD_FAILURE() << "order";
+  void send_command(char what) {
+    if (::write(command_pipe_.get(), &what, 1) != 1) ADD_FAILURE() << "command";
   }
   void reload_now(Router& router) {
     try {
       router.reload(parse_config(reload_text_));
     } catch (const ConfigError&) {
     }
-    reloaded_->set_value();
+    command_done_->set_value();
   }
-  Fd orders_;
-  std::string reload_text_;     // handed over by the order
-  std::function<void()> what_;  // the same
-  std::promise<void>* reloaded_ = nullptr;
+  Fd command_pipe_;
+  std::string reload_text_;          // argument of the command 'h'
+  std::function<void()> loop_task_;  // argument of the command 'c'
+  std::promise<void>* command_done_ = nullptr;
   std::thread thread_;
   std::uint16_t port_ = 0, control_port_ = 0;
 };
 
-/// The id of a command line, from its `O`.
+/// The request id of a command line, from its `O` token.
 inline std::string id_of(const std::string& line) {
   std::size_t at = line.find(" O");
   return at == line.npos ? "" : line.substr(at + 2, line.find(' ', at + 2) - at - 2);
--- a/tests/memcache_test.cpp
+++ b/tests/memcache_test.cpp
@@ -1,4 +1,4 @@
-// The parsers, whole and split at every byte.
+// The parsers of the meta protocol, with input in one piece and split at every byte.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -11,7 +11,7 @@
 
 using robinseam::ReportField;
 
-/// What a reader makes of `text` when it comes in two parts cut at `cut`.
+/// The results of a reader for `text`, passed in two parts split at `cut`.
 std::vector<std::string> commands_of(const std::string& text, std::size_t cut) {
   CommandReader reader;
   std::vector<std::string> seen;
@@ -73,7 +73,7 @@
     EXPECT_EQ(commands_of(text, cut), whole) << "cut at " << cut;
 }
 
-TEST(CommandReader, FramingThatIsLostIsTold) {
+TEST(CommandReader, LostFramingIsReported) {
   EXPECT_EQ(commands_of("ms k five O1 Pc=put\r\n", 3).back(), "broken");
   EXPECT_EQ(commands_of("ms k 4194305 O1 Pc=put,d=1\r\n", 3).back(), "broken");
   EXPECT_EQ(commands_of("ms k -1 O1 Pc=put,d=1\r\n", 3).back(), "broken");
@@ -83,12 +83,12 @@
   EXPECT_EQ(commands_of("ms k 4194304 O1 Pc=put,d=1\r\n", 3), std::vector<std::string>());
 }
 
-TEST(CommandReader, AKeyThatIsTooLongIsBad) {
+TEST(CommandReader, TooLongKeyIsBad) {
   EXPECT_EQ(commands_of("mg " + std::string(kMaxKey + 1, 'k') + " v O1 Pc=read\r\n", 9).back(),
             "bad");
 }
 
-TEST(CommandReader, OnlyTheProtocolsFormIsTaken) {
+TEST(CommandReader, OnlyTheProtocolsFormIsAccepted) {
   for (const char* line : {"mg k O1 Pc=read,d=1",        "mg k v Pc=read,d=1",
                            "mg k v O Pc=read,d=1",       "mg k v O1",
                            "mg k v O1 Pt=a,d=1",         "mg k v O1 Pc=read",
@@ -150,7 +150,7 @@
     EXPECT_EQ(answers_of(text, cut), whole) << "cut at " << cut;
 }
 
-TEST(AnswerReader, AReportThatCantBeReadSpoilsNothing) {
+TEST(AnswerReader, InvalidReportFieldsDoNotInvalidateTheAnswer) {
   for (const char* report : {"Lload_share=nan,mean_ms=inf,x0=-1", "Lload_share=1e300", "L=,,=,x",
                              "L\xff\x01 O7 c9", "L", "Lload_share"})
     EXPECT_EQ(answers_of("VA 1 O9 h1 " + std::string(report) + "\r\nv\r\n", 9).back().substr(0, 8),
@@ -160,19 +160,19 @@
   EXPECT_EQ(seen.back(), "0 9  h0 - - 0.500000 v\r\n");
 }
 
-TEST(AnswerReader, AValueThatEndsShortOfItsLengthIsTold) {
-  for (bool short_of_it : {true, false}) {
+TEST(AnswerReader, ValueThatEndsBeforeItsLengthIsDetected) {
+  for (bool ends_early : {true, false}) {
     AnswerReader reader(&kFields);
-    std::string text = std::string("VA 10 O1\r\nabc") + (short_of_it ? "\r\n" : "");
+    std::string text = std::string("VA 10 O1\r\nabc") + (ends_early ? "\r\n" : "");
     std::string_view in = text;
     Answer answer;
     EXPECT_EQ(reader.take(in, answer), AnswerReader::Got::Nothing);
     EXPECT_TRUE(reader.in_answer());
-    EXPECT_EQ(reader.ends_early(), short_of_it);
+    EXPECT_EQ(reader.ends_early(), ends_early);
   }
 }
 
-TEST(AnswerReader, GarbageBreaks) {
+TEST(AnswerReader, GarbageIsBroken) {
   EXPECT_EQ(answers_of("HTTP/1.1 200 OK\r\n", 3).back(), "broken");
   EXPECT_EQ(answers_of("VA x O1\r\n", 3).back(), "broken");
   EXPECT_EQ(answers_of("VA -1 O1\r\n", 3).back(), "broken");
@@ -189,9 +189,9 @@
   EXPECT_EQ(answers_of(std::string(kMaxLine + 1, 'V'), 3).back(), "broken");
 }
 
-// Nearly good lines with random bytes in them, cut at random points: whatever comes, readers end
-// and make the same of it as uncut.
-TEST(MetaFuzz, BothReadersTakeAnyBytesInAnyParts) {
+// Almost valid lines with random bytes, split at random points. For any input the readers must
+// terminate and give the same results as for the unsplit text.
+TEST(MetaFuzz, BothReadersGiveTheSameResultsForAnySplitOfAnyBytes) {
   std::mt19937_64 random(20261201);
   auto below = [&](std::uint64_t n) { return random() % n; };
   const char* const lines[] = {"mg key v O1 Pc=read,d=5\r\n",
@@ -206,7 +206,7 @@
     std::string text;
     for (std::uint64_t count = 1 + below(4); count > 0; --count) {
       std::string line = lines[below(std::size(lines))];
-      for (std::uint64_t spoilt = below(3); spoilt > 0; --spoilt)
+      for (std::uint64_t corrupted = below(3); corrupted > 0; --corrupted)
         line[below(line.size())] = static_cast<char>(random());
       if (below(9) == 0) line.resize(below(line.size() + 1));
       text += line;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// The router over loopback sockets, between scripted clients, cache servers and discovery.
+// The router over loopback sockets, with scripted clients, cache servers and discovery.
 #include <atomic>
 
 #include "loopback.hpp"
@@ -22,7 +22,7 @@
   return c;
 }
 
-TEST(Router, AReadGoesOnUnchangedButForTheWaitAndItsValueComesBack) {
+TEST(Router, ReadIsForwardedWithOnlyItsDeadlineChangedAndItsValueReturned) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -41,7 +41,7 @@
   EXPECT_EQ(client.bytes(7), "he\r\no\r\n");
 }
 
-TEST(Router, AWriteGoesOnWithItsValueAndItsReceiptComesBack) {
+TEST(Router, WriteIsForwardedWithItsValueAndItsReceiptReturned) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -56,7 +56,7 @@
   EXPECT_EQ(client.line(), "HD Ob1 c9f\r\n");
 }
 
-TEST(Router, NoopAndBadInputAreAnsweredAndHarmNoOtherConnection) {
+TEST(Router, NoopAndBadInputAreAnsweredWithoutAffectingOtherConnections) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client(), other = router.client();
@@ -77,7 +77,7 @@
   EXPECT_EQ(other.line(), "MN\r\n");
 }
 
-TEST(Router, PipelinedCommandsAreAnsweredInTheirOrder) {
+TEST(Router, PipelinedCommandsAreAnsweredInOrder) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -97,7 +97,7 @@
   EXPECT_EQ(client.line(), "two\r\n");
 }
 
-TEST(Router, AConnectionIsUsedAgain) {
+TEST(Router, ServerConnectionIsReused) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -113,10 +113,12 @@
   EXPECT_TRUE(server.no_connection_within(0));
 }
 
-/// Two servers; the client's read reaches one, which `spoils` its attempt.
-class Spoiled : public testing::Test {
+/// Two servers. The client's command reaches one of them, whose connection or answer then fails.
+class FailedAttempt : public testing::Test {
  protected:
-  Spoiled() { config_.hosts = {host_json("s-1", a_.address()), host_json("s-2", b_.address())}; }
+  FailedAttempt() {
+    config_.hosts = {host_json("s-1", a_.address()), host_json("s-2", b_.address())};
+  }
   void start(const std::string& command) {
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
@@ -141,14 +143,14 @@
   Peer* spare_ = nullptr;
 };
 
-TEST_F(Spoiled, AResetIsRetriedElsewhere) {
+TEST_F(FailedAttempt, ResetIsRetriedAtTheOtherServer) {
   start(get("e1"));
   link_.line();
   link_.send_reset();
   expect_retry("e1");
 }
 
-TEST_F(Spoiled, AnEndAmidTheValueIsRetriedElsewhere) {
+TEST_F(FailedAttempt, CloseInsideTheValueIsRetriedAtTheOtherServer) {
   start(get("e2"));
   link_.line();
   link_.write("VA 5 Oe2 h1\r\nhel");
@@ -156,8 +158,8 @@
   expect_retry("e2");
 }
 
-// The wait is too short for the module's own patience to run out first.
-TEST_F(Spoiled, AnAnswerThatBreaksOffInSilenceIsRetriedElsewhere) {
+// The deadline is so short that the module's own attempt timeout does not run out first.
+TEST_F(FailedAttempt, AnswerThatStallsIsRetriedAtTheOtherServer) {
   start(get("e9", "key", "3000"));
   link_.line();
   link_.write("VA 5 Oe9 h1\r\nhel");
@@ -165,7 +167,7 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, GarbageEndsTheConnection) {
+TEST_F(FailedAttempt, MalformedAnswerClosesTheConnection) {
   start(get("e3"));
   link_.line();
   link_.write("HTTP/1.1 200 OK\r\n");
@@ -173,7 +175,7 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnAnswerToAnotherRequestEndsTheConnection) {
+TEST_F(FailedAttempt, AnswerToAnotherRequestClosesTheConnection) {
   start(get("e4"));
   link_.line();
   link_.write(value_answer("e5", "wrong"));
@@ -181,7 +183,7 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnUnaskedAnswerEndsTheConnection) {
+TEST_F(FailedAttempt, UnexpectedAnswerClosesTheConnection) {
   start(get("e6"));
   link_.line();
   link_.write(value_answer("e6", "good") + value_answer("e6", "again"));
@@ -191,7 +193,7 @@
   EXPECT_TRUE(client_.stays_silent(50));
 }
 
-TEST_F(Spoiled, BusyIsRetriedElsewhereAndTheConnectionKept) {
+TEST_F(FailedAttempt, BusyIsRetriedAtTheOtherServerAndTheConnectionKept) {
   start(get("e7"));
   link_.line();
   link_.write("SERVER_ERROR busy Lload_share=1,mean_ms=9,x0=0.5\r\n");
@@ -199,23 +201,23 @@
   EXPECT_TRUE(link_.stays_silent(50));
 }
 
-TEST_F(Spoiled, AWriteThatMustNotRunTwiceFailsWhenItMayHaveRun) {
+TEST_F(FailedAttempt, NonRepeatableWriteFailsIfItMayHaveRun) {
   start(put("e8", "x", "pay"));
   link_.line();
   link_.send_reset();
   std::string answer = client_.line();
-  EXPECT_EQ(answer, "SERVER_ERROR failed\r\n");  // busy would say that it never ran
+  EXPECT_EQ(answer, "SERVER_ERROR failed\r\n");  // busy would promise that it never ran
   EXPECT_TRUE(spare_->no_connection_within(100));
 }
 
-TEST(Router, ARefusedConnectIsRetriedElsewhereAlsoForAWriteThatMustNotRunTwice) {
+TEST(Router, RefusedConnectIsRetriedAtTheOtherServerEvenForANonRepeatableWrite) {
   Peer gone, server;
   ConfigText config;
   config.hosts = {host_json("s-1", gone.address()), host_json("s-2", server.address())};
   gone.close();
   RunningRouter router(config);
   TestConnection client = router.client();
-  for (int k = 0; k < 4; ++k) {  // some of these keys have their home at the dead one
+  for (int k = 0; k < 4; ++k) {  // some of these keys belong to the dead server
     std::string id = "f" + std::to_string(k);
     client.write(put(id, "x", "pay"));
     static thread_local TestConnection at_server;
@@ -227,7 +229,7 @@
   }
 }
 
-TEST(Router, WithNoServerARequestIsRefusedAndToldWhenToComeAgain) {
+TEST(Router, RequestWithoutServersIsRefusedWithARetryTime) {
   ConfigText config;
   RunningRouter router(config);
   TestConnection client = router.client();
@@ -240,7 +242,7 @@
   EXPECT_LE(wait, 1000);
 }
 
-TEST(Router, ASilentServersRequestIsAnsweredInTimeAndItsAttemptGivenUp) {
+TEST(Router, RequestAtASilentServerFailsInTimeAndItsAttemptIsAbandoned) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -248,10 +250,10 @@
   TestConnection at_server = server.accept();
   at_server.line();
   EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
-  EXPECT_TRUE(at_server.is_closed());  // so that the server may drop it
+  EXPECT_TRUE(at_server.is_closed());  // closing lets the server drop the request
 }
 
-TEST(Router, WhereNothingCanBeCancelledALateAnswerIsDroppedAndItsConnectionKept) {
+TEST(Router, LateAnswerIsDroppedAndItsConnectionKeptWithoutCancellation) {
   Peer server;
   ConfigText config = one_server(server);
   config.may_cancel = false;
@@ -264,12 +266,12 @@
   at_server.write(value_answer("h2", "late"));
   EXPECT_TRUE(client.stays_silent(50));
   client.write(get("h3"));
-  EXPECT_EQ(id_of(at_server.line()), "h3");  // the connection is whole and used again
+  EXPECT_EQ(id_of(at_server.line()), "h3");  // the connection is intact and reused
   at_server.write(value_answer("h3", "good"));
   EXPECT_EQ(client.line(), "VA 4 Oh3\r\n");
 }
 
-TEST(Router, AHalfClosedClientStillGetsItsAnswer) {
+TEST(Router, HalfClosedClientStillReceivesItsAnswer) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -284,7 +286,7 @@
   EXPECT_TRUE(client.is_closed());
 }
 
-TEST(Router, NothingNewIsSentForAClientThatHasLeft) {
+TEST(Router, NoNewAttemptIsSentForADisconnectedClient) {
   Peer a, b;
   ConfigText config;
   config.hosts = {host_json("s-1", a.address()), host_json("s-2", b.address())};
@@ -295,7 +297,7 @@
   TestConnection at_server = hit->accept();
   at_server.line();
   client.close();
-  // A second client's round trip: by then the router has seen the close.
+  // After a second client's round trip the router has seen the close.
   TestConnection other = router.client();
   other.write("mn\r\n");
   EXPECT_EQ(other.line(), "MN\r\n");
@@ -303,7 +305,7 @@
   EXPECT_TRUE((hit == &a ? b : a).no_connection_within(100));
 }
 
-TEST(Router, TheLargestValuePassesBothWays) {
+TEST(Router, LargestValueIsForwardedInBothDirections) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -329,7 +331,7 @@
   answerer.join();
 }
 
-TEST(Router, IdleConnectionsAreClosedBeforeTheServerDoesIt) {
+TEST(Router, IdleServerConnectionsAreClosedBeforeTheServersKeepaliveEnds) {
   Peer server;
   ConfigText config = one_server(server);
   config.keepalive_us = 1'000'000;
@@ -343,9 +345,10 @@
   EXPECT_TRUE(at_server.is_closed());
 }
 
-// By the settings alone an idle connection would stay for 36 s. A reset counts as the answer to the
-// command only when it comes at once, which a busy machine may miss: then the next round counts.
-TEST(Router, HowSoonAServerEndsIdleConnectionsIsLearnedFromResets) {
+// By the settings alone an idle connection would stay open for 36 s. A reset teaches the server's
+// idle time only if it follows the command at once, which a busy machine may miss; then the next
+// round counts.
+TEST(Router, IdleTimeoutOfAServerIsLearnedFromResets) {
   Peer server;
   ConfigText config = one_server(server);
   config.keepalive_us = 60'000'000;
@@ -370,9 +373,9 @@
   EXPECT_TRUE(learned);
 }
 
-// Servers that close right after an answer, or are replaced, once taught an idle time of
-// milliseconds, and every request dialled anew.
-TEST(Router, EndsOfIdleConnectionsThatShowTeachNoIdleTime) {
+// Guards against learning an idle time of milliseconds from servers that close right after an
+// answer, or that are replaced: after that every request had to dial.
+TEST(Router, VisibleClosesOfIdleConnectionsDoNotLowerTheIdleTimeout) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -395,8 +398,8 @@
   EXPECT_EQ(id_of(at_server.line()), "y9");  // on the same connection
 }
 
-// Twelve requests at once: none waits behind another.
-TEST(Router, WithinTheCapNoAttemptWaitsBehindAnother) {
+// Twelve requests at once, each on its own connection.
+TEST(Router, AttemptsWithinTheConnectionLimitAreNotPipelined) {
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
@@ -414,10 +417,10 @@
   }
 }
 
-TEST(Router, BeyondTheCapAttemptsArePipelinedAndStillMatched) {
+TEST(Router, AttemptsBeyondTheConnectionLimitArePipelinedAndMatched) {
   Peer server;
   ConfigText config = one_server(server);
-  config.routers = 60;  // leaves one connection to a server
+  config.routers = 60;  // leaves one connection per server
   RunningRouter router(config);
   TestConnection one = router.client(), two = router.client();
   one.write(get("n1"));
@@ -431,7 +434,7 @@
   EXPECT_EQ(two.line(), "VA 1 On2\r\n");
 }
 
-TEST(Router, ACancelledAttemptLeavesItsNeighboursOnThePipeline) {
+TEST(Router, CancelledAttemptDoesNotAffectOthersOnItsPipeline) {
   Peer server;
   ConfigText config = one_server(server);
   config.routers = 60;
@@ -442,7 +445,7 @@
   at_server.line();
   two.write(get("o2", "other"));
   EXPECT_EQ(id_of(at_server.line()), "o2");
-  EXPECT_EQ(one.line().substr(0, 12), "SERVER_ERROR");  // its time is up, the attempt cancelled
+  EXPECT_EQ(one.line().substr(0, 12), "SERVER_ERROR");  // deadline passed, attempt cancelled
   at_server.write(value_answer("o1", "late") + value_answer("o2", "good"));
   EXPECT_EQ(two.line(), "VA 4 Oo2\r\n");
   EXPECT_TRUE(one.stays_silent(50));
@@ -450,7 +453,7 @@
 
 // ---- discovery ----
 
-TEST(Discovery, TheWatchIsRenewedAndChangesTakeEffect) {
+TEST(Discovery, WatchIsRenewedAndChangesTakeEffect) {
   Peer discovery, before, after;
   ConfigText config;
   config.mode = "automatic";
@@ -464,7 +467,7 @@
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address(), "active")});
   EXPECT_EQ(answer_next_call(discovery, http(change)).substr(0, 39),
             "GET /discovery/hosts?index=5&wait=2000 ");
-  TestConnection watch = discovery.accept();  // the next call has begun, so the change is in force
+  TestConnection watch = discovery.accept();  // the next call has started, so the change is applied
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=6&wait");
   TestConnection client = router.client();
   client.write(get("p1"));
@@ -473,7 +476,7 @@
   EXPECT_TRUE(before.no_connection_within(0));
 }
 
-TEST(Discovery, WhatIsNoListLeavesTheOldOneInForce) {
+TEST(Discovery, InvalidAnswersLeaveTheCurrentListInForce) {
   Peer discovery, server;
   ConfigText config = one_server(server);
   config.mode = "automatic";
@@ -491,7 +494,7 @@
 
 // ---- reload ----
 
-TEST(Reload, TheNewAddressIsAskedForItsWholeListWhileRequestsAndTheOldWatchGoOn) {
+TEST(Reload, NewAddressIsAskedForItsFullListWhileRequestsAndTheOldWatchContinue) {
   Peer old_one, new_one, before, after;
   ConfigText config;
   config.mode = "automatic";
@@ -511,13 +514,14 @@
   router.reload(config.text());
   TestConnection call = new_one.accept();
   EXPECT_EQ(call.line(), "GET /discovery/hosts HTTP/1.1\r\n");
-  // Before the new one answers, the old watch tells a drain: the list under way may be older.
+  // Before the new address answers, the old watch reports a drain. The list already requested may
+  // be older, so it is requested again.
   old_watch.write(http(list_json(
       6, false,
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address())})));
   TestConnection again = new_one.accept();
   EXPECT_EQ(again.line(), "GET /discovery/hosts HTTP/1.1\r\n");
-  // The list that was under way knows nothing of the drain, and must not undo it.
+  // The list requested first does not contain the drain and must not undo it.
   std::string stale = http(list_json(1, true, {host_json("s-1", before.address())}));
   ::send(call.fd(), stale.data(), stale.size(), MSG_NOSIGNAL);
   char rest[1024];
@@ -531,13 +535,13 @@
   TestConnection watch = new_one.accept();
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=2&wait");
   EXPECT_TRUE(old_one.no_connection_within(0));
-  at_server.write(value_answer("R1", "good"));  // its connection and its request went on
+  at_server.write(value_answer("R1", "good"));  // its connection and request were kept
   EXPECT_EQ(client.line(), "VA 4 OR1\r\n");
   at_new.write(value_answer("R2", "good"));
   EXPECT_EQ(other.line(), "VA 4 OR2\r\n");
 }
 
-TEST(Reload, AnAddressThatIsNotUpYetIsTriedAgainSoon) {
+TEST(Reload, NewAddressThatIsNotUpYetIsRetriedSoon) {
   Peer old_one, new_one;
   ConfigText config;
   config.mode = "automatic";
@@ -553,7 +557,7 @@
             "GET /discovery/hosts?index=7&wait");
 }
 
-TEST(Reload, WhatCantBeUsedChangesNothing) {
+TEST(Reload, InvalidConfigurationChangesNothing) {
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
@@ -571,13 +575,13 @@
 
 // ---- peers that misbehave ----
 
-TEST(BadClient, WhatOnlyTheRouterKnowsIsCheckedBeforeItIsPassedOn) {
+TEST(BadClient, ClassKeyAndIdAreCheckedBeforeForwarding) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection bad = router.client(), good = router.client();
   bad.write("mg key v OB1 Pc=nosuch,t=acme,d=480\r\n");
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  bad.write("ms key 1 OB2 Pc=put,t=acme,d=480\r\nx\r\n");  // a keyed class without its key
+  bad.write("ms key 1 OB2 Pc=put,t=acme,d=480\r\nx\r\n");  // a keyed class without idempotency key
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   bad.write("mg key v OB3 Pc=put,t=acme,d=480,k=77\r\n");  // a keyed class that reads
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
@@ -585,7 +589,7 @@
   good.write(get("B4"));
   TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "B4");
-  bad.write(get("B4"));  // another client's, while it is open and right after
+  bad.write(get("B4"));  // id of another client's request, open or just finished
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   at_server.write(value_answer("B4", "good"));
   EXPECT_EQ(good.line(), "VA 4 OB4\r\n");
@@ -595,7 +599,7 @@
   EXPECT_TRUE(at_server.stays_silent(0));
 }
 
-TEST(BadClient, OneThatSaysNothingOrHalfACommandIsClosed) {
+TEST(BadClient, SilentClientOrHalfACommandIsDisconnected) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection silent = router.client(), half = router.client(), value = router.client();
@@ -606,7 +610,7 @@
   EXPECT_TRUE(value.is_closed());
 }
 
-TEST(BadClient, SilentConnectionsDoNotKeepOthersOut) {
+TEST(BadClient, SilentConnectionsDoNotBlockOtherClients) {
   Peer server;
   ConfigText config = one_server(server);
   config.sockets = 64;
@@ -619,7 +623,7 @@
   EXPECT_EQ(id_of(at_server.line()), "B7");
 }
 
-TEST(BadClient, ManyCommandsAtOnceAreAllAnsweredInOrder) {
+TEST(BadClient, ManyCommandsInOneWriteAreAllAnsweredInOrder) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client();
@@ -629,7 +633,7 @@
   for (int k = 0; k < 500; ++k) EXPECT_EQ(client.line(), k % 2 ? "MN\r\n" : "ERROR\r\n");
 }
 
-TEST_F(Spoiled, BytesBehindAGoodAnswerSpoilOnlyTheirConnection) {
+TEST_F(FailedAttempt, BytesAfterAValidAnswerOnlyCloseTheirConnection) {
   start(get("S1"));
   link_.line();
   link_.write(value_answer("S1", "good") + "VA 9");  // the beginning of something
@@ -638,19 +642,20 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnAnswerThatTricklesDoesNotKeepItsConnectionForGood) {
+TEST_F(FailedAttempt, TricklingAnswerDoesNotHoldItsConnectionForever) {
   start(get("S2", "key", "300"));
   link_.line();
   bool ended = false;
-  for (int k = 0; k < 2000 && !ended; ++k) {  // 20 s of it at most
+  for (int k = 0; k < 2000 && !ended; ++k) {  // at most 20 s
     if (::send(link_.fd(), "x", 1, MSG_NOSIGNAL) != 1) ended = true;
     ended = ended || !link_.stays_silent(10);
   }
   EXPECT_TRUE(ended);
 }
 
-/// Two good servers and one that answers a fifth of what it gets, the rest with `failure`.
-void expect_an_outlier_is_avoided(const std::string& failure) {
+/// Two good servers and one that serves a fifth of its requests and answers the rest with
+/// `failure`.
+void expect_outlier_is_avoided(const std::string& failure) {
   std::atomic<int> asked{0};
   const std::string load = " Lload_share=0.2,mean_ms=4,x0=0.9";
   auto good = [&](const std::string& line) { return value_answer(id_of(line), "v", load); };
@@ -671,21 +676,22 @@
     else
       ++unserved;
   }
-  EXPECT_LT(asked, 60) << failure;  // of some 100 that would be its part
-  EXPECT_GT(asked, 0) << failure;   // it is still seen
+  EXPECT_LT(asked, 60) << failure;  // its share would be about 100
+  EXPECT_GT(asked, 0) << failure;   // it is still probed
   EXPECT_LE(unserved, 3) << failure;
 }
 
-// Guards against: half a server's answers taken for health and its failures for the fleet's load.
-// Each success cleared all doubt of it, its errors were not retried, and the doors shut for it.
-TEST(Router, AServerThatFailsMostRequestsIsAvoidedWhateverItSays) {
-  expect_an_outlier_is_avoided("SERVER_ERROR busy");
-  expect_an_outlier_is_avoided("SERVER_ERROR failed");
+// Guards against a server that serves some requests being judged healthy and its failures being
+// taken for overload of the whole fleet: each success reset its failure evidence, its errors were
+// not retried, and admission shed requests because of it.
+TEST(Router, ServerThatFailsMostRequestsIsAvoidedWhateverItsError) {
+  expect_outlier_is_avoided("SERVER_ERROR busy");
+  expect_outlier_is_avoided("SERVER_ERROR failed");
 }
 
-// Guards against: connections that break under one request in five, at every server alike. They
-// cost servers next to nothing, but their retries used up the budget and the rest was refused.
-TEST(Router, RequestsOnConnectionsThatBreakAreServedElsewhere) {
+// Guards against refusals when connections break under one request in five at every server: these
+// breaks cost the servers almost nothing, but their retries used up the retry budget.
+TEST(Router, RequestsOnBrokenConnectionsAreServedByOtherServers) {
   std::atomic<int> asked{0};
   auto serve = [&](const std::string& line) {
     return ++asked % 5 == 0 ? std::string() : value_answer(id_of(line), "v");
@@ -707,11 +713,12 @@
   EXPECT_LE(unserved, 2);
 }
 
-// A jam leaves attempts that nobody waits for any more, each on a connection that is not idle.
-TEST(ServerSide, ConnectionsOnlyAbandonedAttemptsWaitOnMakeRoom) {
+// An origin overload leaves abandoned attempts, each on a connection that is not idle. Guards
+// against such connections using up the router's connection limit.
+TEST(ServerSide, ConnectionsWithOnlyAbandonedAttemptsAreReplaced) {
   Peer server;
   ConfigText config = one_server(server);
-  config.sockets = 64;  // of them 13 for servers
+  config.sockets = 64;  // 13 of them for servers
   config.may_cancel = false;
   RunningRouter router(config);
   std::vector<TestConnection> clients, silent;
@@ -724,7 +731,7 @@
   }
   for (TestConnection& client : clients) EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
   bool reached = false;
-  for (int k = 0; k < 40 && !reached; ++k) {  // the door may be shut to some keys by now
+  for (int k = 0; k < 40 && !reached; ++k) {  // admission may shed some keys by now
     std::string id = "W" + std::to_string(k);
     clients[0].write(get(id, id));
     std::vector<pollfd> fds = {{server.fd(), POLLIN, 0}, {clients[0].fd(), POLLIN, 0}};
@@ -737,12 +744,13 @@
   EXPECT_TRUE(reached);
 }
 
-/// Counts how attempts end, at a server side of its own whose clock stands still.
-struct Storm final : ServerSide::Handler {
-  struct Still final : TimeSource {
+/// Counts attempt results at a ServerSide whose clock stands still.
+struct AbandonedAttempts final : ServerSide::Handler {
+  struct FrozenClock final : TimeSource {
     Micros now() const override { return 1'000'000 * kSecond; }
   };
-  explicit Storm(const std::string& dial) : side(base.get(), clock, *this, limits(), nullptr) {
+  explicit AbandonedAttempts(const std::string& dial)
+      : side(base.get(), clock, *this, limits(), nullptr) {
     side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
   }
   static ServerSide::Limits limits() {
@@ -751,8 +759,8 @@
     return l;
   }
   void on_attempt_end(RequestId, int, Status status, AttemptResult&&) override { ++ends[status]; }
-  /// Sends one attempt and, once it has gone out whole, gives it up.
-  void ask_and_give_up() {
+  /// Sends one attempt and cancels it once it has been written completely.
+  void send_and_cancel() {
     Request r;
     r.key = "key", r.id = "S" + std::to_string(++asked), r.type = "read", r.tenant = "acme";
     std::uint64_t written = side.counts().written;
@@ -765,41 +773,43 @@
     side.cancel("s-1", asked, 0);
   }
   EventBasePtr base{event_base_new()};
-  Still clock;
+  FrozenClock clock;
   ServerSide side;
   std::map<Status, int> ends;
   RequestId asked = 0;
 };
 
-// Protects against: a handshake for each attempt that is given up, 939 in 5 s of one bad day.
-TEST(ServerSide, GivingUpCostsNoMoreHandshakesThanAnswersPayFor) {
+// Guards against one handshake per abandoned attempt; a run once made 939 in 5 s.
+TEST(ServerSide, AbandonedAttemptsCauseNoMoreHandshakesThanAnswersAllow) {
   Peer server;
-  Storm storm(server.address());
-  const std::size_t pool = Storm::limits().per_server;
-  for (int k = 0; k < 100; ++k) storm.ask_and_give_up();
-  // One whole pool is closed and dialled again, the next is kept; what finds no place is not sent.
-  EXPECT_EQ(storm.side.counts().dials, 2 * pool);
-  EXPECT_EQ(storm.side.connections(), pool);
-  EXPECT_EQ(storm.ends[Status::Moot], 100 - static_cast<int>(2 * pool));
-  EXPECT_EQ(storm.ends[Status::ConnectFailed], 0) << "that would be held against the server";
-  // Its answers come after all: the connections are used again.
+  AbandonedAttempts attempts(server.address());
+  const std::size_t pool = AbandonedAttempts::limits().per_server;
+  for (int k = 0; k < 100; ++k) attempts.send_and_cancel();
+  // One full pool is closed and redialled, the next is kept; attempts beyond it are not sent.
+  EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
+  EXPECT_EQ(attempts.side.connections(), pool);
+  EXPECT_EQ(attempts.ends[Status::Moot], 100 - static_cast<int>(2 * pool));
+  EXPECT_EQ(attempts.ends[Status::ConnectFailed], 0) << "would count as a failure of the server";
+  // The server answers late after all: its connections are reused.
   std::vector<TestConnection> links;
   for (std::size_t k = 0; k < 2 * pool; ++k) links.push_back(server.accept());
   for (std::size_t k = pool; k < links.size(); ++k)
     links[k].write(value_answer(id_of(links[k].line()), "late"));
-  while (storm.side.counts().late_answers < pool) event_base_loop(storm.base.get(), EVLOOP_ONCE);
-  storm.ask_and_give_up();
-  EXPECT_EQ(storm.side.counts().dials, 2 * pool);
+  while (attempts.side.counts().late_answers < pool)
+    event_base_loop(attempts.base.get(), EVLOOP_ONCE);
+  attempts.send_and_cancel();
+  EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
 }
 
-// Ids are ever new, and a watch may tell of changes alone.
-TEST(ServerSide, ServersThatAreGoneAreForgottenUnderChangesAlone) {
-  struct Nobody final : ServerSide::Handler {
+// Server ids are never reused, and a watch may send only changes. Guards against state that grows
+// with each replaced server.
+TEST(ServerSide, ServersThatLeftAreForgottenWhenOnlyChangesAreReceived) {
+  struct IgnoringHandler final : ServerSide::Handler {
     void on_attempt_end(RequestId, int, Status, AttemptResult&&) override {}
-  } nobody;
+  } handler;
   EventBasePtr base(event_base_new());
   Clock clock;
-  ServerSide side(base.get(), clock, nobody, {}, nullptr);
+  ServerSide side(base.get(), clock, handler, {}, nullptr);
   std::string last = "s-0";
   side.take_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
   for (int k = 1; k < 100; ++k) {
@@ -811,7 +821,7 @@
   }
 }
 
-TEST(ServerSide, WhatWasOpenToTheOldServerOfAnAddressIsNotUsedForTheNewOne) {
+TEST(ServerSide, ConnectionsToAnAddressAreNotReusedForItsNewServer) {
   Peer discovery, server;
   ConfigText config = one_server(server);
   config.mode = "automatic";
@@ -827,7 +837,7 @@
   old_one.write(value_answer("U1", "v"));
   EXPECT_EQ(client.line(), "VA 1 OU1\r\n");
   EXPECT_EQ(client.line(), "v\r\n");
-  // The replacement is listed before the old one is told to be gone.
+  // The replacement is listed before the old server is reported as gone.
   watch.write(http(list_json(6, false, {host_json("s-2", server.address(), "active", 5000)})));
   EXPECT_TRUE(old_one.is_closed());
   client.write(get("U2"));
@@ -835,8 +845,8 @@
   EXPECT_EQ(id_of(new_one.line()), "U2");
 }
 
-TEST(ServerSide, AServerWithoutConnectionsGetsOneWhereAllAreTaken) {
-  std::vector<Peer> peers(16);  // of 64 descriptors, servers get 13
+TEST(ServerSide, ServerWithoutConnectionsGetsOneWhenTheLimitIsReached) {
+  std::vector<Peer> peers(16);  // 13 of the 64 descriptors are for servers
   ConfigText config;
   config.sockets = 64;
   for (std::size_t k = 0; k < peers.size(); ++k)
@@ -847,7 +857,8 @@
   std::vector<TestConnection> links(peers.size());
   std::vector<bool> seen(peers.size());
   TestConnection client = router.client();
-  // Ever new keys, one at a time, until each server had one: all but one connection are idle then.
+  // New keys, one at a time, until each server has had one. At any time all but one connection are
+  // idle.
   std::size_t reached = 0;
   for (int k = 0; k < 2000 && reached < peers.size(); ++k) {
     std::string id = "T" + std::to_string(k);
@@ -859,7 +870,7 @@
     bool answered = false;
     while (!answered) {
       ASSERT_GT(::poll(fds.data(), fds.size(), kTestTimeoutMs), 0);
-      ASSERT_EQ(fds.back().revents, 0) << client.line();  // refused: it had no connection
+      ASSERT_EQ(fds.back().revents, 0) << client.line();  // refused: no connection for it
       for (std::size_t p = 0; p < peers.size() && !answered; ++p) {
         if (fds[p].revents) {
           links[p] = peers[p].accept();
@@ -868,7 +879,7 @@
           continue;
         }
         std::string line = links[p].line();
-        if (line.empty()) {  // made room
+        if (line.empty()) {  // evicted for another server
           links[p].close();
           fds[peers.size() + p].fd = -1;
           continue;
@@ -883,9 +894,9 @@
   EXPECT_EQ(reached, peers.size());
 }
 
-// ---- planned end ----
+// ---- planned shutdown ----
 
-TEST(Router, ATerminatedRouterTakesNewConnectionsForAWhileAnswersAllAndEnds) {
+TEST(Router, TerminatedRouterAcceptsConnectionsForAWhileAnswersAllAndEnds) {
   Peer server;
   RunningRouter router(one_server(server));
   TestConnection client = router.client(), idle = router.client();
