--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -1,4 +1,5 @@
-// The binary protocol's hard cases, over loopback against a running router.
+// Edge cases of the binary protocol, over loopback against a running router: malformed and cut
+// input, quiet commands, wrong or late answers, servers configured for the wrong protocol.
 #include <sys/socket.h>
 
 #include <atomic>
@@ -21,7 +22,7 @@
   return c;
 }
 
-/// A binary server that answers reads with "v:KEY", and what `script` says else.
+/// The answer of a binary server: "v:KEY" to a read, CAS 7 to a write.
 std::string good_answer(const binary::Command& c) {
   if (binary::is_write(c.opcode))
     return binary::response(c.opcode, binary::status::kOk, c.opaque, {}, {}, 0, 7);
@@ -31,8 +32,8 @@
   return [](const std::string& p) { return good_answer(command_of(p)); };
 }
 
-/// What a raw client is told for `bytes`: statuses by opaque, until the connection ends or `count`.
-std::vector<binary::Answer> told(TestConnection& client, std::size_t count) {
+/// Reads `count` answers, fewer if the connection closes before.
+std::vector<binary::Answer> read_answers(TestConnection& client, std::size_t count) {
   std::vector<binary::Answer> all;
   while (all.size() < count) {
     std::string p = read_packet(client);
@@ -65,15 +66,15 @@
 
 // ---- clients ----
 
-TEST_F(OneServer, EveryFormOfReadAndWriteIsAnsweredInItsForm) {
+TEST_F(OneServer, EachReadAndWriteOpcodeGetsItsAnswerForm) {
   start();
   client_.write(packet(Opcode::Get, 1, "a") + packet(Opcode::GetQ, 2, "b") +
                 packet(Opcode::GetK, 3, "c") + packet(Opcode::GetKQ, 4, "d") +
                 packet(Opcode::Set, 5, "e", "v") + packet(Opcode::SetQ, 6, "f", "v") +
                 packet(Opcode::Noop, 7));
-  auto all = told(client_, 6);
+  auto all = read_answers(client_, 6);
   ASSERT_EQ(all.size(), 6u);
-  const std::uint32_t opaques[] = {1, 2, 3, 4, 5, 7};  // SETQ is silent
+  const std::uint32_t opaques[] = {1, 2, 3, 4, 5, 7};  // SETQ has no answer on success
   const char* const keys[] = {"", "", "c", "d", "", ""};
   const char* const values[] = {"v:a", "v:b", "v:c", "v:d", "", ""};
   for (std::size_t k = 0; k < all.size(); ++k) {
@@ -85,7 +86,7 @@
   EXPECT_EQ(all[4].cas, 7u);
 }
 
-TEST_F(OneServer, TheRoutersOwnCommandsAreAnswered) {
+TEST_F(OneServer, VersionStatNoopAndQuitAreAnsweredByTheRouter) {
   start();
   client_.write(packet(Opcode::Version, 1) + packet(Opcode::Stat, 2) +
                 packet(Opcode::Stat, 3, "items") + packet(Opcode::Noop, 4));
@@ -109,7 +110,7 @@
   EXPECT_TRUE(quiet.is_closed());
 }
 
-TEST_F(OneServer, WhatCantBeServedIsToldAndTheConnectionGoesOn) {
+TEST_F(OneServer, UnsupportedCommandsAreRejectedAndTheConnectionKept) {
   start();
   std::string add = packet(Opcode::Set, 1, "k", "v"), unknown = packet(Opcode::Noop, 2);
   add[1] = 0x02;
@@ -122,7 +123,7 @@
                 packet(Opcode::GetQ, 8, "a\r\nms k 1 O1") +
                 packet(Opcode::Get, 9, std::string(250, 'k')));
   const std::uint16_t due[] = {0x83, 0x81, 0x04, 0x04, 0x03, 0x83, 0x04, 0x04, 0x00};
-  auto all = told(client_, 9);
+  auto all = read_answers(client_, 9);
   ASSERT_EQ(all.size(), 9u);
   for (std::size_t k = 0; k < 9; ++k) {
     EXPECT_EQ(all[k].opaque, k + 1);
@@ -130,16 +131,16 @@
   }
 }
 
-TEST_F(OneServer, LengthsThatContradictEachOtherOrGoOnForeverEndTheConnection) {
+TEST_F(OneServer, ContradictoryOrHugeLengthsCloseTheConnection) {
   start();
   std::string shorter = packet(Opcode::Set, 1, "key", "value"), huge = shorter;
-  shorter[11] = 5;  // of key and extras alone there are 11
+  shorter[11] = 5;  // key and extras alone take 11
   for (int k = 8; k < 12; ++k) huge[k] = static_cast<char>(0xff);
   const std::pair<std::string, std::uint16_t> cases[] = {{shorter, 0x04}, {huge, 0x03}};
   for (const auto& [bytes, status] : cases) {
     TestConnection client = router_->client();
     client.write(packet(Opcode::Get, 9, "a") + bytes);
-    EXPECT_EQ(read_answer(client).opaque, 9u);  // what was whole before is answered
+    EXPECT_EQ(read_answer(client).opaque, 9u);  // the complete command before is answered
     binary::Answer a = read_answer(client);
     EXPECT_EQ(a.status, status);
     EXPECT_EQ(a.opaque, 1u);
@@ -148,7 +149,7 @@
   expect_alive();
 }
 
-TEST_F(OneServer, AHeaderCutAtEachByteHarmsNobody) {
+TEST_F(OneServer, CommandCutAtEachByteDoesNotAffectOtherClients) {
   start();
   std::string bytes = packet(Opcode::Set, 1, "key", "value");
   for (std::size_t size = 1; size < bytes.size(); ++size) {
@@ -160,7 +161,7 @@
   expect_alive();
 }
 
-TEST_F(OneServer, TheSameOpaqueTwiceIsAnsweredTwiceInOrder) {
+TEST_F(OneServer, RepeatedOpaqueIsAnsweredTwiceInOrder) {
   start();
   client_.write(packet(Opcode::GetK, 5, "a") + packet(Opcode::GetK, 5, "b"));
   binary::Answer a = read_answer(client_), b = read_answer(client_);
@@ -178,7 +179,7 @@
   EXPECT_EQ(read_answer(client_).value, "v:a");
   EXPECT_EQ(meta.line(), "VA 3 OM1\r\n");
   EXPECT_EQ(meta.line(), "v:a\r\n");
-  // A connection keeps what it began with.
+  // A connection keeps the protocol of its first byte.
   meta.write(packet(Opcode::Noop, 1) + "\r\n");
   EXPECT_EQ(meta.line(), "ERROR\r\n");
   client_.write("mn\r\n");
@@ -186,7 +187,7 @@
   EXPECT_TRUE(client_.is_closed());
 }
 
-TEST(BinaryOff, WithoutTheSettingTheFirstByteMeansNothing) {
+TEST(BinaryOff, BinaryMagicIsNotRecognizedWithoutTheSetting) {
   Peer server;
   ConfigText c;
   c.hosts = {host_json("s-1", server.address())};
@@ -194,11 +195,11 @@
   TestConnection client = router.client();
   client.write(packet(Opcode::Version, 1) + "\r\n");
   EXPECT_EQ(client.line(), "ERROR\r\n");
-  client.write("mg k v f O1 Pc=read,d=100\r\n");  // nor are flags known
+  client.write("mg k v f O1 Pc=read,d=100\r\n");  // flags are not supported either
   EXPECT_EQ(client.line(), "CLIENT_ERROR bad command\r\n");
 }
 
-TEST(Quiet, ARefusalInTheMiddleIsToldAndTheRestKeepsItsOrder) {
+TEST(Quiet, ErrorsAmongQuietCommandsAreReportedInOrder) {
   auto answer = [](const std::string& p) {
     binary::Command c = command_of(p);
     if (c.key == "full")
@@ -217,7 +218,7 @@
                packet(Opcode::GetQ, 3, "full") + packet(Opcode::SetQ, 4, "full", "v") +
                packet(Opcode::SetQ, 5, "failing", "v") + packet(Opcode::GetK, 6, "c") +
                packet(Opcode::SetQ, 7, "d", "v") + packet(Opcode::Noop, 8));
-  auto all = told(client, 6);
+  auto all = read_answers(client, 6);
   ASSERT_EQ(all.size(), 6u);
   const std::uint32_t opaques[] = {1, 3, 4, 5, 6, 8};
   const std::uint16_t statuses[] = {0, 0x85, 0x85, 0x84, 0, 0};
@@ -229,7 +230,7 @@
   EXPECT_GT(std::atoi(all[1].value.c_str() + 5), 0);
 }
 
-TEST(Quiet, HundredsWithNoBarrierFromAClientThatNeverReadsAreHeldBack) {
+TEST(Quiet, ClientThatNeverReadsIsNotReadFurtherAndDisconnected) {
   std::atomic<int> reads{0};
   auto answer = [&](const std::string& p) {
     ++reads;
@@ -247,8 +248,8 @@
   std::string bytes;
   for (std::uint32_t k = 0; k < 800; ++k)
     bytes += packet(Opcode::GetQ, k, "key" + std::to_string(k));
-  greedy.write(bytes);  // all fits the sockets' buffers
-  // The rest is served meanwhile, and the one that takes nothing is given up.
+  greedy.write(bytes);  // fits the socket buffers
+  // Other clients are served meanwhile, and the client that reads nothing is disconnected.
   TestConnection other = router.client();
   for (int k = 0; k < 20; ++k) {
     other.write(packet(Opcode::Get, 1, "alive"));
@@ -265,10 +266,10 @@
   while (connections() > 1 && std::chrono::steady_clock::now() < end)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   EXPECT_EQ(connections(), 1);
-  EXPECT_LT(reads, 400);  // back-pressure: most were never sent on
+  EXPECT_LT(reads, 400);  // back-pressure: most were never forwarded
 }
 
-TEST_F(OneServer, TerminationLetsAQuietBatchReachItsBarrier) {
+TEST_F(OneServer, TerminationWaitsForTheBarrierOfAQuietBatch) {
   start();
   TestConnection idle = router_->client();
   idle.write(packet(Opcode::Noop, 1));
@@ -284,7 +285,7 @@
   router_->wait_for_end();
 }
 
-TEST_F(OneServer, AReloadBetweenAQuietCommandAndItsBarrierLosesNothing) {
+TEST_F(OneServer, ReloadBetweenAQuietCommandAndItsBarrierKeepsBoth) {
   start();
   client_.write(packet(Opcode::SetQ, 1, "a", "v") + packet(Opcode::GetQ, 2, "b"));
   EXPECT_EQ(read_answer(client_).opaque, 2u);
@@ -301,10 +302,10 @@
 
 // ---- servers ----
 
-/// Two binary servers; the client's read reaches one.
-class SpoiltBinary : public testing::Test {
+/// Two binary servers; the client's read reaches one, whose answer then fails.
+class FailedBinaryAttempt : public testing::Test {
  protected:
-  SpoiltBinary() : config_(binary_config({&a_, &b_})) {}
+  FailedBinaryAttempt() : config_(binary_config({&a_, &b_})) {}
   void start(const std::string& bytes) {
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
@@ -330,7 +331,7 @@
   binary::Command asked_;
 };
 
-TEST_F(SpoiltBinary, AnAnswerWithAnothersOpaqueIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpaqueIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   binary::Command wrong = asked_;
   ++wrong.opaque;
@@ -339,7 +340,7 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerWithAnothersKeyIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherKeyIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   binary::Command wrong = asked_;
   wrong.key = "kez";
@@ -348,14 +349,14 @@
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerToAnotherOpcodeIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpcodeIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   link_.write(binary::response(Opcode::Set, 0, asked_.opaque, {}, {}, 0, 5));
   expect_retry();
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerCutAtAnyByteIsRetriedElsewhere) {
+TEST_F(FailedBinaryAttempt, AnswerCutAtAnyByteIsRetriedAtTheOtherServer) {
   std::size_t whole = served({Opcode::GetK, 0, 0, 0, 0, "key", ""}, "wrong").size();
   for (std::size_t size = 0; size < whole; ++size) {
     start(packet(Opcode::Get, 1, "key"));
@@ -365,7 +366,7 @@
   }
 }
 
-TEST_F(SpoiltBinary, BytesBehindAGoodAnswerSpoilOnlyTheirConnection) {
+TEST_F(FailedBinaryAttempt, BytesAfterAValidAnswerOnlyCloseTheirConnection) {
   start(packet(Opcode::Get, 1, "key"));
   link_.write(served(asked_, "good") + served(asked_, "again"));
   EXPECT_EQ(read_answer(client_).value, "good");
@@ -373,7 +374,7 @@
   EXPECT_TRUE(client_.stays_silent(50));
 }
 
-TEST_F(SpoiltBinary, ALateAnswerWithACancelledOpaqueIsDroppedAndNeverServed) {
+TEST_F(FailedBinaryAttempt, LateAnswerWithACancelledOpaqueIsDroppedAndNeverServed) {
   config_.may_cancel = false;
   config_.binary = R"({"read_deadline_ms":300,"write_class":"pay","servers":[{"id":"*"}]})";
   config_.hosts.pop_back();  // one server
@@ -382,33 +383,33 @@
   client_ = router_->client();
   client_.write(packet(Opcode::Get, 1, "key"));
   link_ = a_.accept();
-  binary::Command given_up = command_of(read_packet(link_));
-  EXPECT_NE(read_answer(client_).status, 0);  // in its time
-  link_.write(served(given_up, "late"));
-  // The late answer was read past: the connection serves on.
-  bool again = false;
-  for (int k = 0; k < 40 && !again; ++k) {  // the door may be shut to some keys by now
+  binary::Command abandoned = command_of(read_packet(link_));
+  EXPECT_NE(read_answer(client_).status, 0);  // within its deadline
+  link_.write(served(abandoned, "late"));
+  // The late answer was skipped: the connection is used further.
+  bool reused = false;
+  for (int k = 0; k < 40 && !reused; ++k) {  // admission may shed some keys by now
     client_.write(packet(Opcode::Get, 2, "key" + std::to_string(k)));
     std::vector<pollfd> fds = {{link_.fd(), POLLIN, 0}, {client_.fd(), POLLIN, 0}};
     ASSERT_GT(::poll(fds.data(), 2, kTestTimeoutMs), 0);
-    again = fds[0].revents != 0;
-    if (!again) {
+    reused = fds[0].revents != 0;
+    if (!reused) {
       EXPECT_NE(read_answer(client_).status, 0);
     }
   }
-  ASSERT_TRUE(again);
-  // And what bears the opaque of one that has ended is not taken for the next one's answer.
+  ASSERT_TRUE(reused);
+  // An answer with the opaque of the ended attempt is not taken for the answer to the next one.
   binary::Command next = command_of(read_packet(link_));
-  EXPECT_NE(next.opaque, given_up.opaque);
+  EXPECT_NE(next.opaque, abandoned.opaque);
   binary::Command forged = next;
-  forged.opaque = given_up.opaque;
+  forged.opaque = abandoned.opaque;
   link_.write(served(forged, "old"));
   EXPECT_NE(read_answer(client_).value, "old");
   EXPECT_TRUE(link_.is_closed());
 }
 
-TEST(WrongProtocol, CostsOneAttemptAConnectionIsToldAndEndsWithAReload) {
-  // s-1 is configured binary and speaks meta; s-2 is what it is said to be.
+TEST(WrongProtocol, CostsOneAttemptPerConnectionIsLoggedAndEndsWithAReload) {
+  // s-1 is configured as binary but speaks meta; s-2 is binary as configured.
   std::atomic<int> binary_bytes{0}, meta_served{0}, good_served{0};
   auto meta = [&](const std::string& line) -> std::string {
     if (static_cast<unsigned char>(line[0]) == binary::kRequestMagic) {
@@ -418,7 +419,7 @@
     ++meta_served;
     return value_answer(id_of(line), "meta", " f0");
   };
-  // Either a line or a packet: the stand-in sees what it was sent.
+  // Accepts a line or a packet, so that the meta server sees whatever it was sent.
   auto line_or_packet = [](std::string_view text) {
     return !text.empty() && static_cast<unsigned char>(text[0]) == binary::kRequestMagic
                ? complete_packet_size(text)
@@ -441,7 +442,7 @@
   std::string log = testing::internal::GetCapturedStderr();
   EXPECT_LE(failed, 4);
   EXPECT_GT(binary_bytes, 0);
-  EXPECT_LT(binary_bytes, 120);  // its keys went elsewhere
+  EXPECT_LT(binary_bytes, 120);  // its keys went to the other server
   EXPECT_GE(good_served, 390);
   EXPECT_NE(log.find("server s-1 at " + wrong.address() +
                      " answers in the meta protocol but is configured for binary"),
@@ -449,7 +450,7 @@
       << log;
   config.binary = R"({"write_class":"pay","servers":[{"id":"s-2"}]})";
   router.reload(config.text());
-  // It recovers by itself, in seconds.
+  // The server is used again within seconds, without further action.
   auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   for (std::uint32_t k = 0; meta_served < 20 && std::chrono::steady_clock::now() < end; ++k) {
     client.write(packet(Opcode::Get, k, "again" + std::to_string(k)));
@@ -459,11 +460,11 @@
   EXPECT_GE(meta_served, 20);
 }
 
-TEST(WrongProtocol, BeforeAServerHasSpokenAConnectionCarriesOneAttempt) {
+TEST(WrongProtocol, ConnectionCarriesOneAttemptUntilTheServerHasAnswered) {
   Peer server;
   ConfigText config = binary_config({&server});
-  config.routers = 30;  // two connections a server
-  TestClock clock;      // stands still: nothing is given up meanwhile
+  config.routers = 30;  // two connections per server
+  TestClock clock;      // stands still: no attempt times out
   RunningRouter router(config, &clock);
   TestConnection client = router.client();
   for (std::uint32_t k = 0; k < 6; ++k)
@@ -485,7 +486,7 @@
     EXPECT_EQ(read_answer(client).value, "v:key" + std::to_string(k));
 }
 
-TEST(WrongProtocol, ABinaryServerThatIsTakenForMetaIsToldAsWell) {
+TEST(WrongProtocol, BinaryServerConfiguredForMetaIsLoggedAsWell) {
   Peer server;
   ConfigText config;
   config.binary = R"({"write_class":"pay"})";
@@ -504,7 +505,7 @@
             std::string::npos);
 }
 
-TEST(Fleet, AKeyedWriteIsNotRepeatedWhereAServerCantBeToldItsKey) {
+TEST(Fleet, KeyedWriteIsNotRetriedIfAServerCannotReceiveItsIdempotencyKey) {
   for (bool cas : {false, true}) {
     Peer a, b;
     ConfigText config = binary_config({&a, &b});
@@ -527,7 +528,7 @@
   }
 }
 
-TEST(Aside, AMissIsToldAsNotFoundAndGetqIsSilent) {
+TEST(Aside, MissIsAnsweredAsNotFoundAndNotAtAllToGetq) {
   auto missing = [](const std::string& p) {
     binary::Command c = command_of(p);
     if (c.key.starts_with("held")) return good_answer(c);
@@ -543,7 +544,7 @@
   TestConnection client = router.client();
   client.write(packet(Opcode::Get, 1, "a") + packet(Opcode::GetQ, 2, "b") +
                packet(Opcode::GetQ, 3, "held") + packet(Opcode::Noop, 4));
-  auto all = told(client, 3);
+  auto all = read_answers(client, 3);
   ASSERT_EQ(all.size(), 3u);
   EXPECT_EQ(all[0].opaque, 1u);
   EXPECT_EQ(all[0].status, binary::status::kNotFound);
@@ -552,7 +553,7 @@
   EXPECT_EQ(all[2].opaque, 4u);
 }
 
-TEST(Through, ANotFoundIsNoMissButAFailure) {
+TEST(Through, NotFoundIsAFailureWithoutCacheAside) {
   ServingPeer server(
       [](const std::string& p) {
         binary::Command c = command_of(p);
@@ -565,11 +566,11 @@
   RunningRouter router(config);
   TestConnection client = router.client();
   client.write(packet(Opcode::GetQ, 1, "a"));
-  binary::Answer a = read_answer(client);  // told, though quiet
+  binary::Answer a = read_answer(client);  // answered, although the command is quiet
   EXPECT_TRUE(a.status == binary::status::kInternal || a.status == binary::status::kBusy);
 }
 
-TEST(BinaryReload, AClassThatIsNotInForceChangesNothing) {
+TEST(BinaryReload, UnknownClassIsRejectedAndChangesNothing) {
   Peer server;
   ConfigText config;
   config.binary = kAllBinary;
