--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -73,7 +73,7 @@
     HostList list = parse_host_list(copy);
     auto t2 = std::chrono::steady_clock::now();
     list = hand.take(std::move(list));
-    side.take_list(list);
+    side.apply_list(list);
     auto t3 = std::chrono::steady_clock::now();
     std::vector<robinseam::Server> all;
     for (const Host& host : list.hosts) all.push_back(host.server);
--- a/src/control/calls.cpp
+++ b/src/control/calls.cpp
@@ -49,26 +49,26 @@
 
 struct Path {
   std::string_view path, method;
-  ControlCall::What what;
+  ControlCall::Kind kind;
 };
-constexpr std::array<Path, 4> kPaths{{{"/-/ready", "GET", ControlCall::What::Ready},
-                                      {"/-/metrics", "GET", ControlCall::What::Metrics},
-                                      {"/-/drain", "PUT", ControlCall::What::Drain},
-                                      {"/-/resume", "PUT", ControlCall::What::Resume}}};
+constexpr std::array<Path, 4> kPaths{{{"/-/ready", "GET", ControlCall::Kind::Ready},
+                                      {"/-/metrics", "GET", ControlCall::Kind::Metrics},
+                                      {"/-/drain", "PUT", ControlCall::Kind::Drain},
+                                      {"/-/resume", "PUT", ControlCall::Kind::Resume}}};
 
-ControlRead bad(int status) {
-  ControlRead r;
-  r.got = ControlRead::Got::Bad;
+ControlCallParse bad(int status) {
+  ControlCallParse r;
+  r.state = ControlCallParse::State::Invalid;
   r.status = status;
   return r;
 }
 
 }  // namespace
 
-ControlRead read_control_call(std::string_view text) {
+ControlCallParse parse_control_call(std::string_view text) {
   std::size_t end = text.find("\r\n\r\n");
-  if (end == text.npos) return text.size() > kMaxHead ? bad(431) : ControlRead();
-  if (end > kMaxHead) return bad(431);
+  if (end == text.npos) return text.size() > kMaxControlHeadBytes ? bad(431) : ControlCallParse();
+  if (end > kMaxControlHeadBytes) return bad(431);
   std::string_view line = text.substr(0, text.find("\r\n"));
   std::size_t first = line.find(' '), last = line.rfind(' ');
   if (first == line.npos || first == last || !line.substr(last + 1).starts_with("HTTP/1."))
@@ -76,12 +76,12 @@
   std::string_view method = line.substr(0, first);
   std::string_view path = line.substr(first + 1, last - first - 1);
   path = path.substr(0, path.find('?'));
-  ControlRead r;
-  r.got = ControlRead::Got::Call;
+  ControlCallParse r;
+  r.state = ControlCallParse::State::Complete;
   for (const Path& one : kPaths) {
     if (path != one.path) continue;
     if (method != one.method) return bad(405);
-    r.call.what = one.what;
+    r.call.kind = one.kind;
     return r;
   }
   if (!path.starts_with(kServers)) return bad(404);
@@ -93,7 +93,7 @@
   if (method != "PUT") return bad(405);
   auto id = unescaped(path.substr(0, slash));
   if (!id) return bad(400);
-  r.call.what = verb == "disable" ? ControlCall::What::Disable : ControlCall::What::Enable;
+  r.call.kind = verb == "disable" ? ControlCall::Kind::Disable : ControlCall::Kind::Enable;
   r.call.id = std::move(*id);
   return r;
 }
--- a/src/control/control.cpp
+++ b/src/control/control_server.cpp
@@ -1,4 +1,4 @@
-#include "control.hpp"
+#include "control_server.hpp"
 
 #include <sys/socket.h>
 
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-Control::Control(event_base* base, const TimeSource& clock, Handler& handler)
+ControlServer::ControlServer(event_base* base, const TimeSource& clock, Handler& handler)
     : base_(base), clock_(clock), handler_(handler) {}
 
-Control::~Control() = default;
+ControlServer::~ControlServer() = default;
 
-bool Control::listen(const sockaddr_in& address, std::string& error) {
+bool ControlServer::listen(const sockaddr_in& address, std::string& error) {
   Fd fd = listen_at(address, false, error);
   if (!fd) return false;
   listener_ = std::move(fd);
@@ -34,17 +34,17 @@
   return true;
 }
 
-std::uint16_t Control::port() const { return port_of(listener_); }
+std::uint16_t ControlServer::port() const { return port_of(listener_); }
 
-void Control::on_accept(evutil_socket_t, short, void* self) {
-  static_cast<Control*>(self)->accept_some();
+void ControlServer::on_accept(evutil_socket_t, short, void* self) {
+  static_cast<ControlServer*>(self)->accept_some();
 }
 
-void Control::accept_some() {
+void ControlServer::accept_some() {
   for (int k = 0; k < kAccepts; ++k) {
     Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) return;
-    if (connections_.size() >= kMostConnections) {
+    if (connections_.size() >= kMaxConnections) {
       auto oldest = connections_.begin();
       for (auto it = connections_.begin(); it != connections_.end(); ++it)
         if (!it->answered) {
@@ -65,13 +65,13 @@
   }
 }
 
-void Control::on_event(evutil_socket_t, short what, void* connection) {
+void ControlServer::on_event(evutil_socket_t, short what, void* connection) {
   auto& c = *static_cast<Connection*>(connection);
   if ((what & EV_WRITE) && !c.side->write(c)) return;
   if (what & EV_READ) c.side->read(c);
 }
 
-void Control::read(Connection& c) {
+void ControlServer::read(Connection& c) {
   char part[4096];
   ssize_t got = ::recv(c.fd.get(), part, sizeof part, 0);
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
@@ -81,15 +81,15 @@
   }
   if (c.answered) return;  // a body, or more than one call: not asked for
   c.in.append(part, static_cast<std::size_t>(got));
-  ControlRead r = read_control_call(c.in);
-  if (r.got == ControlRead::Got::Part) return;
+  ControlCallParse r = parse_control_call(c.in);
+  if (r.state == ControlCallParse::State::Incomplete) return;
   c.answered = true;
-  c.out = r.got == ControlRead::Got::Call ? handler_.on_control(r.call)
-                                          : control_answer(r.status, "no such call\n");
+  c.out = r.state == ControlCallParse::State::Complete ? handler_.on_control_call(r.call)
+                                                       : control_answer(r.status, "no such call\n");
   write(c);
 }
 
-bool Control::write(Connection& c) {
+bool ControlServer::write(Connection& c) {
   while (!c.out.empty()) {
     ssize_t put = ::send(c.fd.get(), c.out.data(), c.out.size(), MSG_NOSIGNAL);
     if (put < 0 && errno == EINTR) continue;
@@ -108,8 +108,8 @@
   return true;
 }
 
-void Control::on_sweep(evutil_socket_t, short, void* self) {
-  auto* s = static_cast<Control*>(self);
+void ControlServer::on_sweep(evutil_socket_t, short, void* self) {
+  auto* s = static_cast<ControlServer*>(self);
   Micros now = s->clock_.now();
   while (!s->connections_.empty() && now - s->connections_.front().since > kLongest)
     s->connections_.pop_front();
--- a/src/control/control.hpp
+++ b/src/control/control_server.hpp
@@ -9,29 +9,29 @@
 
 namespace arrowfork {
 
-class Control {
+class ControlServer {
  public:
   /// Connections at once. Callers that hold theirs without a whole call make way, oldest first.
-  static constexpr std::size_t kMostConnections = 24;
+  static constexpr std::size_t kMaxConnections = 24;
 
   class Handler {
    public:
     /// The whole answer, made with control_answer(). Must not take long: the loop waits.
-    virtual std::string on_control(const ControlCall& call) = 0;
+    virtual std::string on_control_call(const ControlCall& call) = 0;
 
    protected:
     ~Handler() = default;
   };
 
-  Control(event_base* base, const TimeSource& clock, Handler& handler);
-  ~Control();
+  ControlServer(event_base* base, const TimeSource& clock, Handler& handler);
+  ~ControlServer();
   /// False with the reason in `error`.
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const;
 
  private:
   struct Connection {
-    Control* side;
+    ControlServer* side;
     Fd fd;
     EventPtr read, write;
     Micros since;
--- a/src/control/handover.cpp
+++ b/src/control/handover.cpp
@@ -86,30 +86,30 @@
   if (bound_) ::unlink(path_.c_str());
 }
 
-Handover::Taken Handover::seek() {
-  Taken taken;
+Handover::Inherited Handover::request_listener() {
+  Inherited inherited;
   sockaddr_un address;
   Fd fd = unix_socket(path_, address);
   if (!fd || ::connect(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
       !send_message(fd.get(), kHello))
-    return taken;
+    return inherited;
   pollfd wait{fd.get(), POLLIN, 0};
   std::string text;
   if (::poll(&wait, 1, kAnswerMs) != 1 ||
-      receive(fd.get(), text, taken.listener) != Received::Message || text[0] != kListener ||
-      !taken.listener) {
-    taken.listener.reset();
-    return taken;
+      receive(fd.get(), text, inherited.listener) != Received::Message || text[0] != kListener ||
+      !inherited.listener) {
+    inherited.listener.reset();
+    return inherited;
   }
-  taken.list = text.substr(1);
+  inherited.list = text.substr(1);
   predecessor_ = std::move(fd);
   predecessor_event_.reset(
       event_new(base_, predecessor_.get(), EV_READ | EV_PERSIST, on_predecessor_event, this));
   event_add(predecessor_event_.get(), nullptr);
-  return taken;
+  return inherited;
 }
 
-void Handover::serve() {
+void Handover::listen_for_successor() {
   if (!predecessor_) bind();
 }
 
@@ -154,15 +154,15 @@
   Received got = receive(h->successor_.get(), text, none);
   if (got == Received::Nothing) return;
   if (got == Received::Message && text == kHello) {
-    std::string list = h->handler_.list();
-    int listener = h->handler_.listener();
+    std::string list = h->handler_.server_list();
+    int listener = h->handler_.listening_socket();
     if (1 + list.size() > kMostMessage) list.clear();
     if (listener >= 0 && (send_message(h->successor_.get(), kListener + list, listener) ||
                           (errno == EMSGSIZE &&
                            send_message(h->successor_.get(), std::string(1, kListener), listener))))
       return;
   } else if (got == Received::Message && text[0] == kTake) {
-    if (!std::exchange(h->taken_, true)) h->handler_.on_successor();
+    if (!std::exchange(h->taken_, true)) h->handler_.on_successor_ready();
     return;
   }
   h->lose_successor();
@@ -174,7 +174,7 @@
   if (std::exchange(taken_, false)) handler_.on_successor_lost();
 }
 
-void Handover::take() {
+void Handover::announce_accepting() {
   if (predecessor_) send_message(predecessor_.get(), std::string(1, kTake));
 }
 
@@ -192,23 +192,23 @@
       h->handler_.on_predecessor_gone();
       return;
     }
-    if (text[0] == kClient && fd) h->handler_.on_client(std::move(fd));
+    if (text[0] == kClient && fd) h->handler_.on_client_passed(std::move(fd));
     std::size_t held = 0;
     if (text[0] == kHeld &&
         std::from_chars(text.data() + 1, text.data() + text.size(), held).ec == std::errc())
-      h->handler_.on_predecessor_holds(held);
+      h->handler_.on_predecessor_descriptors(held);
   }
 }
 
-Handover::Given Handover::give(int client) {
-  if (!has_successor()) return Given::No;
-  if (send_message(successor_.get(), std::string(1, kClient), client)) return Given::Yes;
+Handover::PassResult Handover::pass_client(int client) {
+  if (!has_successor()) return PassResult::Failed;
+  if (send_message(successor_.get(), std::string(1, kClient), client)) return PassResult::Passed;
   // A full buffer, or as many descriptors on their way as one user may have.
-  return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS ? Given::Later
-                                                                          : Given::No;
+  return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS ? PassResult::RetryLater
+                                                                          : PassResult::Failed;
 }
 
-void Handover::tell_held(std::size_t descriptors) {
+void Handover::report_held_descriptors(std::size_t descriptors) {
   if (has_successor()) send_message(successor_.get(), kHeld + std::to_string(descriptors));
 }
 
--- a/src/control/handover.hpp
+++ b/src/control/handover.hpp
@@ -17,15 +17,15 @@
   class Handler {
    public:
     /// Asked of the running process: what it listens on (-1: nothing), and its list of servers.
-    virtual int listener() = 0;
-    virtual std::string list() = 0;
+    virtual int listening_socket() = 0;
+    virtual std::string server_list() = 0;
     /// The successor accepts clients from now on; lost before the planned end: it does no more.
-    virtual void on_successor() = 0;
+    virtual void on_successor_ready() = 0;
     virtual void on_successor_lost() = 0;
     /// Told to the successor: a client's connection, how many descriptors the predecessor still
     /// holds, and that it has ended.
-    virtual void on_client(Fd&& client) = 0;
-    virtual void on_predecessor_holds(std::size_t descriptors) = 0;
+    virtual void on_client_passed(Fd&& client) = 0;
+    virtual void on_predecessor_descriptors(std::size_t descriptors) = 0;
     virtual void on_predecessor_gone() = 0;
 
    protected:
@@ -36,25 +36,25 @@
   ~Handover();
 
   /// What a running process at the path has given.
-  struct Taken {
+  struct Inherited {
     Fd listener;
     std::string list;
   };
   /// Asks a running process for its listener; nothing where there is none, or where it does not
   /// answer within a second. Waits for that: call it before anything is served.
-  Taken seek();
+  Inherited request_listener();
   /// Waits for a successor at the path, at once or as soon as the predecessor has ended.
-  void serve();
+  void listen_for_successor();
   /// As a successor: clients are accepted here from now on.
-  void take();
+  void announce_accepting();
   bool has_predecessor() const { return static_cast<bool>(predecessor_); }
   bool has_successor() const { return taken_ && successor_; }
 
-  enum class Given { Yes, Later, No };
+  enum class PassResult { Passed, RetryLater, Failed };
   /// Passes a client's connection on.
-  Given give(int client);
+  PassResult pass_client(int client);
   /// Tells the successor how many descriptors are held here.
-  void tell_held(std::size_t descriptors);
+  void report_held_descriptors(std::size_t descriptors);
 
  private:
   static void on_accept(evutil_socket_t, short, void* self);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -103,7 +103,7 @@
 }
 
 void DiscoveryCall::bad(const char* what) {
-  ++counts_.bad;
+  ++counts_.invalid;
   fault_ = Fault::Spoilt;
   std::fprintf(stderr, "arrowfork: discovery %s: %s\n", authority_.c_str(), what);
 }
@@ -187,7 +187,7 @@
 
 void Discovery::start(const ListCall& call) {
   auto free =
-      std::find_if(calls_.begin(), calls_.end(), [](const auto& one) { return !one->out(); });
+      std::find_if(calls_.begin(), calls_.end(), [](const auto& one) { return !one->in_flight(); });
   if (free == calls_.end()) {
     auto done = [this](int id, ListResult result) {
       log_end(id, result);
@@ -202,7 +202,7 @@
 
 void Discovery::cancel(int id, CancelReason reason) {
   for (auto& call : calls_) {
-    if (!call->out() || call->id() != id) continue;
+    if (!call->in_flight() || call->id() != id) continue;
     ++counts_.cancelled;
     log_call(*call, name_of(reason), nullptr);
     call->stop();
@@ -223,9 +223,9 @@
   const DiscoveryCall::Trace& trace = call.trace();
   std::string query = trace.path.substr(std::min(trace.path.find('?'), trace.path.size()));
   std::string text = "call=" + std::to_string(call.id()) + " query=" + query + " end=" + end;
-  text += " took_ms=" + std::to_string((now - trace.begun) / kMillisecond);
+  text += " took_ms=" + std::to_string((now - trace.started) / kMillisecond);
   if (trace.first_byte > 0)
-    text += " first_byte_ms=" + std::to_string((trace.first_byte - trace.begun) / kMillisecond);
+    text += " first_byte_ms=" + std::to_string((trace.first_byte - trace.started) / kMillisecond);
   if (trace.status != 0) text += " status=" + std::to_string(trace.status);
   if (list) {
     auto leaves = [](const Host& h) { return h.server.health != robinseam::Health::Ready; };
@@ -244,7 +244,7 @@
 }
 
 void Discovery::on_refused(const std::string& reason) {
-  ++counts_.failed, ++counts_.bad;
+  ++counts_.failed, ++counts_.invalid;
   if (refused_for_ != reason)
     std::fprintf(stderr, "arrowfork: discovery: the held list stays: %s\n", reason.c_str());
   refused_for_ = reason;
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -27,14 +27,15 @@
   /// Counts since the start, for the log.
   struct Counts {
     std::uint64_t calls = 0, failed = 0;
-    std::uint64_t bad = 0;  ///< of the failed, those that brought what is no list or may not count
+    std::uint64_t invalid =
+        0;  ///< of the failed, those that brought what is no list or may not count
     std::uint64_t timed_out = 0;  ///< of the failed, those of which nothing was heard
     std::uint64_t cancelled = 0;  ///< given up before their time was over
   };
   /// What was seen of a call, for the log.
   struct Trace {
     std::string path;
-    Micros begun = 0;
+    Micros started = 0;
     Micros first_byte = 0;  ///< 0: none has come
     int status = 0;         ///< of HTTP; 0: no head has come
   };
@@ -46,7 +47,7 @@
   void start(const ListCall& call);
   void stop();
   /// A call is under way.
-  bool out() const { return connection_ != nullptr; }
+  bool in_flight() const { return connection_ != nullptr; }
   int id() const { return id_; }
   const Trace& trace() const { return trace_; }
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -56,7 +56,7 @@
   l.spare_connections = std::min(kSpareClients, c.sockets / 16);
   std::size_t others = kReservedSockets + server_sockets(c) + l.spare_connections;
   if (c.ext_proc) others += c.ext_proc->connections + 1;
-  if (!c.control.empty()) others += Control::kMostConnections + 1;
+  if (!c.control.empty()) others += ControlServer::kMaxConnections + 1;
   l.connections = c.sockets > others ? c.sockets - others : 1;
   l.held_bytes = c.memory_bytes / 4;
   l.bulk_bytes = std::max(kMaxBulk, c.memory_bytes / 6);
@@ -65,17 +65,18 @@
 
 ServerSide::Limits server_limits(const Config& c) {
   ServerSide::Limits l;
-  l.connections = server_sockets(c);
-  l.per_server = std::clamp<std::size_t>(static_cast<std::size_t>(robinseam::limits::kServerHolds) /
-                                             static_cast<std::size_t>(c.settings.routers),
-                                         1, kMostPerServer);
+  l.max_connections = server_sockets(c);
+  l.max_connections_per_server =
+      std::clamp<std::size_t>(static_cast<std::size_t>(robinseam::limits::kServerHolds) /
+                                  static_cast<std::size_t>(c.settings.routers),
+                              1, kMostPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
-  l.streams = c.links.streams;
+  l.attempts_per_connection = c.links.streams;
   l.keepalive = c.links.keepalive;
   l.dial_timeout = c.links.dial_timeout;
   l.may_cancel = c.settings.may_cancel;
-  l.pipe_bytes = c.memory_bytes / 8;
+  l.streaming_buffer_bytes = c.memory_bytes / 8;
   return l;
 }
 
@@ -130,13 +131,13 @@
   clients_.set_stats([this] { return stats(); });
   servers_.set_protocols(config_.binary);
   if (!config_.control.empty()) {
-    control_.reset(new Control(base_, clock_, *this));
+    control_.reset(new ControlServer(base_, clock_, *this));
     tick_event_.reset(event_new(base, -1, EV_PERSIST, on_tick, this));
     timeval tick = timeval_of(kTick);
     event_add(tick_event_.get(), &tick);
     // The running process has the newer list.
     handover_.reset(new Handover(base_, state_path(config_, ".sock"), *this));
-    Handover::Taken taken = handover_->seek();
+    Handover::Inherited taken = handover_->request_listener();
     if (taken.listener) {
       taking_over_ = true;
       clients_.listen_on(std::move(taken.listener));
@@ -152,7 +153,7 @@
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
   HostList known = hand_.take(config_.known);
-  servers_.take_list(known);
+  servers_.apply_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
   recovery_.handed(clock_.now(), any_ready());
   log_settings();
@@ -168,7 +169,7 @@
       error = "control " + config_.control + ": " + (address ? error : "no address");
       return false;
     }
-    handover_->serve();
+    handover_->listen_for_successor();
   }
   if (taking_over_) {
     take_over_if_ready();
@@ -233,10 +234,10 @@
   bool handing = handover_ && handover_->has_successor();
   if (handing)
     clients_.set_give([this](int client) {
-      switch (handover_->give(client)) {
-        case Handover::Given::Yes:
+      switch (handover_->pass_client(client)) {
+        case Handover::PassResult::Passed:
           return ClientSide::Given::Yes;
-        case Handover::Given::Later:
+        case Handover::PassResult::RetryLater:
           return ClientSide::Given::Later;
         default:
           return ClientSide::Given::No;
@@ -270,7 +271,7 @@
 void Router::apply(HostList&& told) {
   note_leaving(told);
   HostList list = hand_.take(std::move(told));
-  servers_.take_list(list);
+  servers_.apply_list(list);
   core_.list(list.whole ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
 
@@ -388,22 +389,22 @@
   return any_ready();
 }
 
-std::string Router::on_control(const ControlCall& call) {
-  using What = ControlCall::What;
-  switch (call.what) {
-    case What::Ready:
+std::string Router::on_control_call(const ControlCall& call) {
+  using Kind = ControlCall::Kind;
+  switch (call.kind) {
+    case Kind::Ready:
       return ready() ? control_answer(200, "ready\n" + recovery_line())
                      : control_answer(503, "not ready\n" + recovery_line());
-    case What::Metrics:
+    case Kind::Metrics:
       return control_answer(200, metrics(), "application/json");
-    case What::Disable:
-    case What::Enable:
-      return set_out(call.id, call.what == What::Disable);
-    case What::Drain:
-    case What::Resume:
+    case Kind::Disable:
+    case Kind::Enable:
+      return set_out(call.id, call.kind == Kind::Disable);
+    case Kind::Drain:
+    case Kind::Resume:
       std::fprintf(stderr, "arrowfork: %s by hand\n",
-                   call.what == What::Drain ? "drained" : "resumed");
-      clients_.send_away(call.what == What::Drain);
+                   call.kind == Kind::Drain ? "drained" : "resumed");
+      clients_.send_away(call.kind == Kind::Drain);
       return control_answer(200, "done\n");
   }
   return control_answer(400, "no such call\n");
@@ -426,7 +427,7 @@
 void Router::apply_bans(const Bans& bans) {
   HostList part = hand_.set_bans(bans, clock_.now());
   if (part.hosts.empty()) return;
-  servers_.take_list(part);
+  servers_.apply_list(part);
   core_.list(ListScope::Delta, servers_of(part));
   core_.turn();  // yes means that the decisions know it
 }
@@ -460,7 +461,7 @@
   std::string error;
   if (auto bans = r->ban_file_.look(error)) r->apply_bans(*bans);
   if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
-  r->handover_->tell_held(r->held_descriptors());
+  r->handover_->report_held_descriptors(r->held_descriptors());
 }
 
 // ---- a new version ----
@@ -473,11 +474,11 @@
     return;
   }
   std::fprintf(stderr, "arrowfork: takes over from the running process\n");
-  handover_->take();
+  handover_->announce_accepting();
   clients_.hold_back(false);
 }
 
-void Router::on_successor() {
+void Router::on_successor_ready() {
   std::fprintf(stderr, "arrowfork: a new process accepts clients\n");
   clients_.hold_back(true);
   share_out();
@@ -490,7 +491,7 @@
   share_out();
 }
 
-void Router::on_predecessor_holds(std::size_t descriptors) {
+void Router::on_predecessor_descriptors(std::size_t descriptors) {
   held_elsewhere_ = descriptors;
   share_out();
 }
@@ -513,7 +514,7 @@
   if (successor || held_elsewhere_ > 0) part.memory_bytes /= 2;
   part.sockets = std::max(kLeastSockets, part.sockets - std::min(part.sockets, held_elsewhere_));
   ServerSide::Limits servers = server_limits(part);
-  if (successor) servers.connections = std::max<std::size_t>(1, servers_.connections());
+  if (successor) servers.max_connections = std::max<std::size_t>(1, servers_.connections());
   servers_.set_limits(servers);
   clients_.set_limits(client_limits(part));
 }
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "../control/control.hpp"
+#include "../control/control_server.hpp"
 #include "../control/handover.hpp"
 #include "../core/core.hpp"
 #include "../io/io.hpp"
@@ -26,7 +26,7 @@
 class Router final : ServerSide::Handler,
                      Discovery::Handler,
                      Lister,
-                     Control::Handler,
+                     ControlServer::Handler,
                      Handover::Handler {
  public:
   /// Throws ConfigError when the configuration can't be used. `clock` must outlive the router.
@@ -77,15 +77,15 @@
   void watch() override;
   void fetch() override { discovery_.fetch(); }
 
-  // Control::Handler
-  std::string on_control(const ControlCall& call) override;
+  // ControlServer::Handler
+  std::string on_control_call(const ControlCall& call) override;
   // Handover::Handler
-  int listener() override { return clients_.listener(); }
-  std::string list() override { return text_of(hand_.told()); }
-  void on_successor() override;
+  int listening_socket() override { return clients_.listener(); }
+  std::string server_list() override { return text_of(hand_.told()); }
+  void on_successor_ready() override;
   void on_successor_lost() override;
-  void on_client(Fd&& client) override { clients_.adopt(std::move(client)); }
-  void on_predecessor_holds(std::size_t descriptors) override;
+  void on_client_passed(Fd&& client) override { clients_.adopt(std::move(client)); }
+  void on_predecessor_descriptors(std::size_t descriptors) override;
   void on_predecessor_gone() override;
 
   std::string set_out(const std::string& id, bool out);
@@ -136,7 +136,7 @@
   bool told_overdue_ = false;
   std::uint64_t served_seen_ = 0, unserved_seen_ = 0;
   Micros pulse_at_;
-  std::unique_ptr<Control> control_;
+  std::unique_ptr<ControlServer> control_;
   std::unique_ptr<Handover> handover_;
   bool taking_over_ = false;        // the predecessor still accepts
   std::size_t held_elsewhere_ = 0;  // descriptors of the other process of an upgrade
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -37,7 +37,7 @@
   add("list_old", list_is_old(back) ? 1 : 0);
   add("discovery_calls", d.calls);
   add("discovery_calls_failed", d.failed);
-  add("discovery_answers_bad", d.bad);
+  add("discovery_answers_bad", d.invalid);
   add("discovery_calls_timed_out", d.timed_out);
   add("discovery_calls_cancelled", d.cancelled);
   add("requests", c.requests);
@@ -66,18 +66,18 @@
   add("server_dials", s.dials);
   add("server_dials_failed", s.failed_dials);
   add("server_dials_no_room", s.no_room);
-  part("server_idle_part", servers_.idle_part());
+  part("server_idle_part", servers_.idle_time_fraction());
   add("server_connections_none", s.no_connection);
   add("server_connections_pipelined", s.pipelined);
   add("server_connections_ended_idle", s.ended_idle);
   add("server_connections_ended_busy", s.ended_busy);
   add("server_connections_closed_idle", s.closed_idle);
-  add("server_connections_gave_up", s.gave_up);
-  add("server_connections_made_room", s.made_room);
-  add("server_connections_kept", s.kept);
-  add("server_attempts_recalled", s.recalled);
-  add("server_attempts_taken_back", s.taken_back);
-  add("server_garbage", s.garbage);
+  add("server_connections_gave_up", s.closed_unresponsive);
+  add("server_connections_made_room", s.evicted);
+  add("server_connections_kept", s.kept_open);
+  add("server_attempts_recalled", s.withdrawn_leaving);
+  add("server_attempts_taken_back", s.withdrawn_client_gone);
+  add("server_garbage", s.malformed_answers);
   add("server_late_answers", s.late_answers);
   add("server_wrong_protocol", s.wrong_protocol);
   all.emplace_back("recovery", robinseam::recovery::name_of(back.phase));
@@ -125,7 +125,7 @@
   auto* r = static_cast<Router*>(self);
   std::string line = "arrowfork: figures";
   for (const auto& [name, value] : r->stats()) line += ' ' + name + '=' + value;
-  const auto worst = r->servers_.most_given_up();  // attempts given up there
+  const auto worst = r->servers_.take_most_abandoned();  // attempts given up there
   if (worst.second > 0) line += " worst=" + worst.first + ':' + std::to_string(worst.second);
   std::fprintf(stderr, "%s\n", line.c_str());
   r->log_servers();
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -130,7 +130,7 @@
 }
 
 void ServerConnection::begin_pipe(ServerCodec::Answer& answer) {
-  ++side_.counts_.piped;
+  ++side_.counts_.streamed_values;
   ++side_.pipes_;
   pipe_ = std::make_shared<ValuePipe>(answer.length, side_.pipe_window());
   left_ = answer.length + 2;
@@ -141,7 +141,7 @@
 void ServerConnection::end_pipe(bool whole) {
   if (!pipe_) return;
   --side_.pipes_;
-  side_.counts_.pipes_broken += !whole && !pipe_->abandoned();
+  side_.counts_.broken_streams += !whole && !pipe_->abandoned();
   std::shared_ptr<ValuePipe> pipe = std::move(pipe_);
   pipe_.reset();
   pipe->on_room(nullptr);
@@ -286,7 +286,7 @@
 }
 
 void ServerConnection::spoilt() {
-  ++side_.counts_.garbage;
+  ++side_.counts_.malformed_answers;
   side_.close(*this, Status::Spoilt);
 }
 
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -113,7 +113,7 @@
   close(c, Status::Spoilt);
 }
 
-void ServerSide::take_list(const HostList& list) {
+void ServerSide::apply_list(const HostList& list) {
   if (list.whole)
     for (auto& [id, pool] : pools_) pool->listed = pool->wanted = false;
   for (const Host& host : list.hosts) {
@@ -181,7 +181,7 @@
   while (c.entries_.size() > begun) {
     ServerConnection::Entry e = std::move(c.entries_.back());
     c.entries_.pop_back();
-    ++counts_.recalled;
+    ++counts_.withdrawn_leaving;
     if (e.live) handler_.on_attempt_end(e.id, e.attempt, Status::Moot, AttemptResult());
   }
 }
@@ -215,7 +215,7 @@
   for (auto& c : pool.connections)
     if (!c->retiring_ && !(established && c->connecting_) && !c->pipe_ &&
         (c->entries_.empty() || c->entries_.front().live) &&
-        c->entries_.size() < static_cast<std::size_t>(limits_.streams) &&
+        c->entries_.size() < static_cast<std::size_t>(limits_.attempts_per_connection) &&
         (!best || c->entries_.size() < best->entries_.size()))
       best = c.get();
   return best;
@@ -251,14 +251,15 @@
 }
 
 robinseam::limits::ConnectionBudget ServerSide::fresh_budget() const {
-  return robinseam::limits::ConnectionBudget(static_cast<double>(limits_.per_server));
+  return robinseam::limits::ConnectionBudget(
+      static_cast<double>(limits_.max_connections_per_server));
 }
 
 /// For a connection that others could use once what is out on it is answered: its server pays for
 /// the next one. What is idle costs no more to close now than by the sweep.
 bool ServerSide::may_close(ServerConnection& c) {
   if (c.idle() || c.pool_.budget.may_close(clock_.now())) return true;
-  ++counts_.kept;
+  ++counts_.kept_open;
   return false;
 }
 
@@ -268,11 +269,11 @@
 /// them, then what only waits for answers that nobody wants any more: when a server or the origin
 /// jams, those come by the hundred, and each would hold its connection for kAbandonTime.
 bool ServerSide::make_room(ServerPool& pool) {
-  if (pool.connections.size() >= limits_.per_server) {
+  if (pool.connections.size() >= limits_.max_connections_per_server) {
     ServerConnection* spare = nullptr;
     spare_of(pool, spare);
     if (!spare || !may_close(*spare)) return false;
-    ++counts_.made_room;
+    ++counts_.evicted;
     close(*spare);
   }
   if (!pool.connections.empty()) {
@@ -283,13 +284,13 @@
           std::count_if(other->connections.begin(), other->connections.end(),
                         [](const auto& c) { return c->connecting_ || !c->forsaken(); }));
     }
-    if (used + std::min(kept, limits_.connections / 2) >= limits_.connections) return false;
+    if (used + std::min(kept, limits_.max_connections / 2) >= limits_.max_connections) return false;
   }
-  while (total_ >= limits_.connections) {
+  while (total_ >= limits_.max_connections) {
     ServerConnection* spare = nullptr;
     for (auto& [id, other] : pools_) spare_of(*other, spare);
     if (!spare || !may_close(*spare)) return false;
-    ++counts_.made_room;
+    ++counts_.evicted;
     close(*spare);
   }
   return true;
@@ -380,7 +381,7 @@
         e.live = false;
         close(c);
       }
-      ++counts_.taken_back;
+      ++counts_.withdrawn_client_gone;
       return true;
     }
   }
@@ -492,7 +493,7 @@
   return at == pools_.end() || !at->second->wanted ? std::string() : at->second->dial;
 }
 
-std::pair<std::string, std::uint64_t> ServerSide::most_given_up() {
+std::pair<std::string, std::uint64_t> ServerSide::take_most_abandoned() {
   std::pair<std::string, std::uint64_t> most;
   for (auto& [id, pool] : pools_) {
     if (pool->given_up > most.second) most = {id, pool->given_up};
@@ -503,8 +504,8 @@
 
 std::size_t ServerSide::pipe_window() const {
   // Each window counts twice: here and in what the client's connection has taken of it.
-  return std::clamp(limits_.pipe_bytes / 2 / std::max<std::size_t>(1, pipes_), kLeastWindow,
-                    kMostWindow);
+  return std::clamp(limits_.streaming_buffer_bytes / 2 / std::max<std::size_t>(1, pipes_),
+                    kLeastWindow, kMostWindow);
 }
 
 Micros ServerSide::idle_limit() const {
@@ -530,7 +531,7 @@
       ServerConnection& c = *pool->connections[k];
       if (c.connecting_) continue;
       if (c.pipe_) {
-        if (c.reading_ && now - c.used_at_ > kPipeSilence) ++counts_.gave_up, close(c);
+        if (c.reading_ && now - c.used_at_ > kPipeSilence) ++counts_.closed_unresponsive, close(c);
         continue;
       }
       if (c.entries_.empty()) {
@@ -553,7 +554,7 @@
       Micros pause = c.codec_->ends_early() ? kEndTime : kPauseTime;
       bool broken_off = c.codec_->in_answer() && now - c.used_at_ > pause;
       if (silent || broken_off)
-        ++counts_.gave_up, close(c, broken_off ? Status::Spoilt : Status::Reset);
+        ++counts_.closed_unresponsive, close(c, broken_off ? Status::Spoilt : Status::Reset);
     }
   }
   forget_gone();
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -33,15 +33,15 @@
                                 AttemptResult&& result) = 0;
   };
   struct Limits {
-    std::size_t connections = 300;  ///< to all servers
-    std::size_t per_server = 8;
-    int streams = 32;  ///< attempts on one connection
+    std::size_t max_connections = 300;  ///< to all servers
+    std::size_t max_connections_per_server = 8;
+    int attempts_per_connection = 32;  ///< attempts on one connection
     Micros keepalive = 15 * kSecond;
     Micros dial_timeout = 75 * kMillisecond;
-    bool may_cancel = false;            ///< servers may drop what is given up
-    std::size_t pipe_bytes = 4u << 20;  ///< of large values on their way, all together
-    int routers = 1;                    ///< that share the servers
-    double tier_rate = 0;               ///< requests a second that the tier may bring; 0: not known
+    bool may_cancel = false;                        ///< servers may drop what is given up
+    std::size_t streaming_buffer_bytes = 4u << 20;  ///< of large values on their way, all together
+    int routers = 1;                                ///< that share the servers
+    double tier_rate = 0;  ///< requests a second that the tier may bring; 0: not known
   };
 
   ServerSide(event_base* base, const TimeSource& clock, Handler& handler, Limits limits,
@@ -53,7 +53,7 @@
   /// changed end with what is out on them.
   void set_protocols(const BinaryRules& rules);
   /// Takes over what a list says of where servers are and whether they want anything new.
-  void take_list(const HostList& list);
+  void apply_list(const HostList& list);
 
   /// Sends one attempt. The handler may be told of its end before this returns.
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
@@ -72,14 +72,17 @@
   /// Counts since the start, for the log.
   struct Counts {
     std::uint64_t dials = 0, failed_dials = 0, pipelined = 0, no_connection = 0;
-    std::uint64_t ended_idle = 0, ended_busy = 0, garbage = 0, closed_idle = 0, gave_up = 0;
-    std::uint64_t late_answers = 0, made_room = 0, wrong_protocol = 0;
-    std::uint64_t no_room = 0;     ///< dials that the server had no room for
-    std::uint64_t recalled = 0;    ///< attempts taken back unsent, since their server leaves
-    std::uint64_t taken_back = 0;  ///< attempts taken back unsent, since their client has gone
-    std::uint64_t kept = 0;     ///< given up on and not closed, for want of answers to pay for it
-    std::uint64_t written = 0;  ///< attempts, whole
-    std::uint64_t piped = 0, pipes_broken = 0;  ///< large values, and those that did not come whole
+    std::uint64_t ended_idle = 0, ended_busy = 0, malformed_answers = 0, closed_idle = 0,
+                  closed_unresponsive = 0;
+    std::uint64_t late_answers = 0, evicted = 0, wrong_protocol = 0;
+    std::uint64_t no_room = 0;            ///< dials that the server had no room for
+    std::uint64_t withdrawn_leaving = 0;  ///< attempts taken back unsent, since their server leaves
+    std::uint64_t withdrawn_client_gone =
+        0;                        ///< attempts taken back unsent, since their client has gone
+    std::uint64_t kept_open = 0;  ///< given up on and not closed, for want of answers to pay for it
+    std::uint64_t written = 0;    ///< attempts, whole
+    std::uint64_t streamed_values = 0,
+                  broken_streams = 0;  ///< large values, and those that did not come whole
   };
   const Counts& counts() const { return counts_; }
 
@@ -88,11 +91,11 @@
   std::size_t connections() const { return total_; }
   std::size_t idle_connections() const;
   /// The part of the idle time by the settings that dials leave, 0 to 1.
-  double idle_part() const { return idle_.part(clock_.now()); }
+  double idle_time_fraction() const { return idle_.part(clock_.now()); }
   /// Where a server that wants anything new is reached; empty for any other.
   std::string address_of(const std::string& server) const;
   /// The server at which most attempts were given up since the last call, and how many.
-  std::pair<std::string, std::uint64_t> most_given_up();
+  std::pair<std::string, std::uint64_t> take_most_abandoned();
   /// Servers of which anything is kept.
   std::size_t servers() const { return pools_.size(); }
 
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -19,7 +19,7 @@
   };
   explicit Dials(const Peer& server, const ServerSide::Limits& limits = {})
       : side(base.get(), clock, *this, limits, nullptr) {
-    side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", server.address())})));
+    side.apply_list(parse_host_list(list_json(1, true, {host_json("s-1", server.address())})));
   }
   void on_attempt_end(RequestId id, int, Status status, AttemptResult&&) override {
     ends[id] = status;
@@ -87,7 +87,7 @@
   for (const Case& c : cases) {
     Peer server;
     ServerSide::Limits limits;
-    limits.per_server = 1;
+    limits.max_connections_per_server = 1;
     Dials dials(server, limits);
     RequestId first = dials.send();
     Link link = dials.take(server, first);
@@ -101,11 +101,11 @@
     RequestId behind = dials.send();
     EXPECT_EQ(dials.side.counts().written, 1u) << c.what;
     EXPECT_EQ(dials.ends.count(behind), 0u) << c.what;
-    dials.side.take_list(parse_host_list(list_json(2, c.whole, c.hosts(server.address()))));
+    dials.side.apply_list(parse_host_list(list_json(2, c.whole, c.hosts(server.address()))));
     EXPECT_EQ(dials.ends.count(behind), 1u) << c.what;
     EXPECT_EQ(dials.ends[behind], Status::Moot) << c.what;
     EXPECT_EQ(dials.ends.count(100), 0u) << c.what;  // its first bytes were before the word
-    EXPECT_EQ(dials.side.counts().recalled, 1u) << c.what;
+    EXPECT_EQ(dials.side.counts().withdrawn_leaving, 1u) << c.what;
   }
 }
 
@@ -114,13 +114,13 @@
 TEST(Dials, ASecondConnectionLeavesWhatStandsIdleAtOthersAndTheirRoom) {
   Peer busy, idle;
   ServerSide::Limits limits;
-  limits.connections = 8;
+  limits.max_connections = 8;
   Dials dials(busy, limits);
   std::vector<std::string> hosts = {host_json("s-1", busy.address()),
                                     host_json("idle", idle.address())};
   for (int k = 0; k < 30; ++k)
     hosts.push_back(host_json("o-" + std::to_string(k), "127.0.0.1:" + std::to_string(k + 1)));
-  dials.side.take_list(parse_host_list(list_json(2, true, hosts)));
+  dials.side.apply_list(parse_host_list(list_json(2, true, hosts)));
   Request r;
   r.key = "key", r.id = "d50", r.type = "read", r.tenant = "acme";
   dials.side.send("idle", 50, 0, r, kSecond);
@@ -132,7 +132,7 @@
   // Half of the eight are the others': four at s-1, and further attempts wait behind those.
   for (int k = 0; k < 7; ++k) dials.send();
   EXPECT_EQ(dials.side.counts().dials, 1u + 4u);
-  EXPECT_EQ(dials.side.counts().made_room, 0u);
+  EXPECT_EQ(dials.side.counts().evicted, 0u);
   EXPECT_EQ(dials.side.idle_connections(), 1u);
 }
 
@@ -161,7 +161,7 @@
     if (c.ends) link.close();
     EXPECT_EQ(dials.end_of(id), c.status) << c.what;
     EXPECT_EQ(dials.side.counts().no_room, c.no_room) << c.what;
-    EXPECT_EQ(dials.side.idle_part() < 0.6, c.no_room > 0) << c.what;
+    EXPECT_EQ(dials.side.idle_time_fraction() < 0.6, c.no_room > 0) << c.what;
   }
 }
 
@@ -170,7 +170,7 @@
   for (Micros silent : {Micros{0}, kSecond}) {
     Peer server;
     ServerSide::Limits limits;
-    limits.streams = 1;
+    limits.attempts_per_connection = 1;
     Dials dials(server, limits);
     RequestId first = dials.send();
     Link link = dials.take(server, first);
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -85,13 +85,13 @@
     EXPECT_EQ(asked.calls_failed, 1) << c.what;
     EXPECT_TRUE(asked.taken.empty()) << c.what;
     EXPECT_EQ(asked.discovery.counts().failed, 1u) << c.what;
-    EXPECT_EQ(asked.discovery.counts().bad, c.bad ? 1u : 0u) << c.what;
+    EXPECT_EQ(asked.discovery.counts().invalid, c.bad ? 1u : 0u) << c.what;
     EXPECT_EQ(asked.ask(whole(good)),
               c.asks_whole ? "/discovery/hosts" : "/discovery/hosts?index=4&wait=1")
         << c.what;
     ASSERT_EQ(asked.taken.size(), 1u) << c.what;
     EXPECT_EQ(asked.taken[0].hosts.size(), 2u) << c.what;
-    EXPECT_EQ(asked.discovery.counts().bad, c.bad ? 1u : 0u) << c.what;
+    EXPECT_EQ(asked.discovery.counts().invalid, c.bad ? 1u : 0u) << c.what;
   }
 }
 
@@ -123,7 +123,7 @@
       ASSERT_EQ(asked.taken.size(), static_cast<std::size_t>(version));
       EXPECT_EQ(asked.taken.back().hosts.size(), servers);
     }
-    EXPECT_EQ(asked.discovery.counts().bad, 0u);
+    EXPECT_EQ(asked.discovery.counts().invalid, 0u);
   }
 }
 
@@ -180,7 +180,7 @@
     event_base_loop(asked.base.get(), EVLOOP_ONCE);
   ASSERT_EQ(asked.taken.size(), 2u);
   EXPECT_EQ(asked.taken[1].hosts.size(), 1u);
-  EXPECT_EQ(asked.discovery.counts().bad, 1u);
+  EXPECT_EQ(asked.discovery.counts().invalid, 1u);
   EXPECT_LT(asked.clock.now() - begun, 6 * kSecond);
   asked.discovery.stop();
   answerer.join();
@@ -205,7 +205,7 @@
     event_base_loop(asked.base.get(), EVLOOP_ONCE);
   ASSERT_EQ(asked.taken.size(), 1u);
   EXPECT_EQ(asked.taken[0].hosts.size(), 1u);
-  EXPECT_EQ(asked.discovery.counts().bad, 1u);
+  EXPECT_EQ(asked.discovery.counts().invalid, 1u);
   EXPECT_GT(asked.discovery.counts().calls, 1u);  // it was asked beside it
   asked.discovery.stop();
   done = true;
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -407,11 +407,11 @@
       rules.servers = {{"", ""}};
       side.set_protocols(rules);
     }
-    side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", address)})));
+    side.apply_list(parse_host_list(list_json(1, true, {host_json("s-1", address)})));
   }
   static ServerSide::Limits limits() {
     ServerSide::Limits l;
-    l.per_server = 1;
+    l.max_connections_per_server = 1;
     l.dial_timeout = kPatienceMs * kMillisecond;
     return l;
   }
@@ -492,7 +492,7 @@
   FullBacklog server;
   Servers servers(server.peer.address());
   RequestId gone = servers.send();
-  servers.side.take_list(
+  servers.side.apply_list(
       parse_host_list(list_json(2, false, {host_json("s-1", server.peer.address(), "leaving")})));
   EXPECT_EQ(servers.end_of(gone), Status::Moot);
   Link link;
--- a/tests/operations/control_test.cpp
+++ b/tests/operations/control_test.cpp
@@ -115,7 +115,7 @@
   TwoServers servers;
   RunningRouter router(servers.config());
   std::vector<Link> holders;
-  for (std::size_t k = 0; k < 3 * Control::kMostConnections; ++k) {
+  for (std::size_t k = 0; k < 3 * ControlServer::kMaxConnections; ++k) {
     holders.push_back(Link::to(router.control_port()));
     holders.back().write("GET /-/re");
   }
--- a/tests/operations/handover_test.cpp
+++ b/tests/operations/handover_test.cpp
@@ -1,6 +1,6 @@
 // A new process beside the running one: no client is refused, reset or left unread.
 #include "../loopback.hpp"
-#include "folder.hpp"
+#include "temp_directory.hpp"
 
 namespace arrowfork::test {
 namespace {
@@ -25,7 +25,7 @@
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
   }
-  Folder folder;
+  TempDirectory folder;
   ServingPeer server{[](const std::string& line) { return value_answer(id_of(line), "v"); }};
   ServingPeer other{[](const std::string& line) { return value_answer(id_of(line), "v"); }};
 };
--- a/tests/operations/machines_test.cpp
+++ b/tests/operations/operator_overrides_test.cpp
@@ -4,8 +4,8 @@
 #include <fstream>
 
 #include "control/calls.hpp"
-#include "folder.hpp"
 #include "membership/ban_file.hpp"
+#include "temp_directory.hpp"
 
 namespace arrowfork::test {
 namespace {
@@ -66,7 +66,7 @@
 }
 
 TEST(BanFile, BothProcessesSeeAndKeepWhatEitherIsTold) {
-  Folder folder;
+  TempDirectory folder;
   std::string path = folder.path() + "/bans", error;
   BanFile old_one(path), new_one(path);
   ASSERT_TRUE(old_one.change("a", true, 10, error)) << error;
@@ -83,7 +83,7 @@
 
 // Protects against: a cleaned folder, or a moment without descriptors, putting servers back.
 TEST(BanFile, AFileThatIsGoneOrCannotBeOpenedPutsNobodyBack) {
-  Folder folder;
+  TempDirectory folder;
   std::string path = folder.path() + "/bans", error;
   BanFile file(path);
   ASSERT_TRUE(file.change("a", true, 10, error));
@@ -103,7 +103,7 @@
 TEST(BanFile, WhatIsNoSuchFileChangesNothingAndIsNotOverwritten) {
   for (const char* text :
        {"", "{", "[]", R"({"v":2,"out":{}})", R"({"v":1})", R"({"v":1,"out":3})"}) {
-    Folder folder;
+    TempDirectory folder;
     std::string path = folder.path() + "/bans", error;
     std::ofstream(path) << text;
     BanFile file(path);
@@ -118,37 +118,39 @@
 }
 
 TEST(ControlCalls, AreReadFromTheirHeads) {
-  using Got = ControlRead::Got;
-  using What = ControlCall::What;
+  using State = ControlCallParse::State;
+  using Kind = ControlCall::Kind;
   const struct {
     std::string head;
-    Got got;
-    int status;  // of Bad
-    What what;
+    State state;
+    int status;  // of Invalid
+    Kind kind;
     std::string id;
   } kCases[] = {
-      {"GET /-/ready HTTP/1.1\r\nHost: x", Got::Part, 0, What::Ready, ""},
-      {"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", Got::Call, 0, What::Ready, ""},
-      {"GET /-/metrics?x=1 HTTP/1.0\r\n\r\n", Got::Call, 0, What::Metrics, ""},
-      {"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\nxx", Got::Call, 0, What::Drain, ""},
-      {"PUT /-/resume HTTP/1.1\r\n\r\n", Got::Call, 0, What::Resume, ""},
-      {"PUT /-/cache-servers/s-1/disable HTTP/1.1\r\n\r\n", Got::Call, 0, What::Disable, "s-1"},
-      {"PUT /-/cache-servers/a%2Fb/enable HTTP/1.1\r\n\r\n", Got::Call, 0, What::Enable, "a/b"},
-      {"PUT /-/cache-servers/a%2/enable HTTP/1.1\r\n\r\n", Got::Bad, 400, What::Enable, ""},
-      {"PUT /-/cache-servers//enable HTTP/1.1\r\n\r\n", Got::Bad, 404, What::Enable, ""},
-      {"PUT /-/cache-servers/a/stop HTTP/1.1\r\n\r\n", Got::Bad, 404, What::Enable, ""},
-      {"GET /-/cache-servers/a/enable HTTP/1.1\r\n\r\n", Got::Bad, 405, What::Enable, ""},
-      {"GET /-/drain HTTP/1.1\r\n\r\n", Got::Bad, 405, What::Drain, ""},
-      {"GET /other HTTP/1.1\r\n\r\n", Got::Bad, 404, What::Ready, ""},
-      {"nonsense\r\n\r\n", Got::Bad, 400, What::Ready, ""},
-      {std::string(kMaxHead + 1, 'x'), Got::Bad, 431, What::Ready, ""},
+      {"GET /-/ready HTTP/1.1\r\nHost: x", State::Incomplete, 0, Kind::Ready, ""},
+      {"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", State::Complete, 0, Kind::Ready, ""},
+      {"GET /-/metrics?x=1 HTTP/1.0\r\n\r\n", State::Complete, 0, Kind::Metrics, ""},
+      {"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\nxx", State::Complete, 0, Kind::Drain, ""},
+      {"PUT /-/resume HTTP/1.1\r\n\r\n", State::Complete, 0, Kind::Resume, ""},
+      {"PUT /-/cache-servers/s-1/disable HTTP/1.1\r\n\r\n", State::Complete, 0, Kind::Disable,
+       "s-1"},
+      {"PUT /-/cache-servers/a%2Fb/enable HTTP/1.1\r\n\r\n", State::Complete, 0, Kind::Enable,
+       "a/b"},
+      {"PUT /-/cache-servers/a%2/enable HTTP/1.1\r\n\r\n", State::Invalid, 400, Kind::Enable, ""},
+      {"PUT /-/cache-servers//enable HTTP/1.1\r\n\r\n", State::Invalid, 404, Kind::Enable, ""},
+      {"PUT /-/cache-servers/a/stop HTTP/1.1\r\n\r\n", State::Invalid, 404, Kind::Enable, ""},
+      {"GET /-/cache-servers/a/enable HTTP/1.1\r\n\r\n", State::Invalid, 405, Kind::Enable, ""},
+      {"GET /-/drain HTTP/1.1\r\n\r\n", State::Invalid, 405, Kind::Drain, ""},
+      {"GET /other HTTP/1.1\r\n\r\n", State::Invalid, 404, Kind::Ready, ""},
+      {"nonsense\r\n\r\n", State::Invalid, 400, Kind::Ready, ""},
+      {std::string(kMaxControlHeadBytes + 1, 'x'), State::Invalid, 431, Kind::Ready, ""},
   };
   for (const auto& c : kCases) {
-    ControlRead r = read_control_call(c.head);
-    EXPECT_EQ(r.got, c.got) << c.head;
-    EXPECT_EQ(c.got == Got::Bad ? r.status : 0, c.status) << c.head;
-    if (c.got != Got::Call) continue;
-    EXPECT_EQ(r.call.what, c.what) << c.head;
+    ControlCallParse r = parse_control_call(c.head);
+    EXPECT_EQ(r.state, c.state) << c.head;
+    EXPECT_EQ(c.state == State::Invalid ? r.status : 0, c.status) << c.head;
+    if (c.state != State::Complete) continue;
+    EXPECT_EQ(r.call.kind, c.kind) << c.head;
     EXPECT_EQ(r.call.id, c.id) << c.head;
   }
 }
--- a/tests/operations/folder.hpp
+++ b/tests/operations/temp_directory.hpp
@@ -8,13 +8,13 @@
 
 namespace arrowfork::test {
 
-class Folder {
+class TempDirectory {
  public:
-  Folder() {
+  TempDirectory() {
     std::string form = (std::filesystem::temp_directory_path() / "wheeldeal-XXXXXX").string();
     path_ = ::mkdtemp(form.data());
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~TempDirectory() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
 
  private:
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -743,7 +743,7 @@
     Micros now() const override { return 1'000'000 * kSecond; }
   };
   explicit Storm(const std::string& dial) : side(base.get(), clock, *this, limits(), nullptr) {
-    side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
+    side.apply_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
   }
   static ServerSide::Limits limits() {
     ServerSide::Limits l;
@@ -775,7 +775,7 @@
 TEST(ServerSide, GivingUpCostsNoMoreHandshakesThanAnswersPayFor) {
   Peer server;
   Storm storm(server.address());
-  const std::size_t pool = Storm::limits().per_server;
+  const std::size_t pool = Storm::limits().max_connections_per_server;
   for (int k = 0; k < 100; ++k) storm.ask_and_give_up();
   // One whole pool is closed and dialled again, the next is kept; what finds no place is not sent.
   EXPECT_EQ(storm.side.counts().dials, 2 * pool);
@@ -801,10 +801,10 @@
   Clock clock;
   ServerSide side(base.get(), clock, nobody, {}, nullptr);
   std::string last = "s-0";
-  side.take_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
+  side.apply_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
   for (int k = 1; k < 100; ++k) {
     std::string next = "s-" + std::to_string(k);
-    side.take_list(parse_host_list(list_json(
+    side.apply_list(parse_host_list(list_json(
         k + 1, false, {host_json(next, "127.0.0.1:9"), host_json(last, "127.0.0.1:9", "left")})));
     EXPECT_EQ(side.servers(), 1u);
     last = next;
