--- a/src/control/handover.cpp
+++ b/src/control/handover.cpp
@@ -192,7 +192,7 @@
       h->handler_.on_predecessor_gone();
       return;
     }
-    if (text[0] == kClient && fd) h->handler_.on_client_passed(std::move(fd));
+    if (text[0] == kClient && fd) h->handler_.on_client_handed_over(std::move(fd));
     std::size_t held = 0;
     if (text[0] == kHeld &&
         std::from_chars(text.data() + 1, text.data() + text.size(), held).ec == std::errc())
@@ -200,12 +200,14 @@
   }
 }
 
-Handover::PassResult Handover::pass_client(int client) {
-  if (!has_successor()) return PassResult::Failed;
-  if (send_message(successor_.get(), std::string(1, kClient), client)) return PassResult::Passed;
+Handover::HandoverResult Handover::hand_over_client(int client) {
+  if (!has_successor()) return HandoverResult::Failed;
+  if (send_message(successor_.get(), std::string(1, kClient), client))
+    return HandoverResult::HandedOver;
   // A full buffer, or as many descriptors on their way as one user may have.
-  return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS ? PassResult::RetryLater
-                                                                          : PassResult::Failed;
+  return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS
+             ? HandoverResult::RetryLater
+             : HandoverResult::Failed;
 }
 
 void Handover::report_held_descriptors(std::size_t descriptors) {
--- a/src/control/handover.hpp
+++ b/src/control/handover.hpp
@@ -24,7 +24,7 @@
     virtual void on_successor_lost() = 0;
     /// Told to the successor: a client's connection, how many descriptors the predecessor still
     /// holds, and that it has ended.
-    virtual void on_client_passed(Fd&& client) = 0;
+    virtual void on_client_handed_over(Fd&& client) = 0;
     virtual void on_predecessor_descriptors(std::size_t descriptors) = 0;
     virtual void on_predecessor_gone() = 0;
 
@@ -50,9 +50,9 @@
   bool has_predecessor() const { return static_cast<bool>(predecessor_); }
   bool has_successor() const { return taken_ && successor_; }
 
-  enum class PassResult { Passed, RetryLater, Failed };
+  enum class HandoverResult { HandedOver, RetryLater, Failed };
   /// Passes a client's connection on.
-  PassResult pass_client(int client);
+  HandoverResult hand_over_client(int client);
   /// Tells the successor how many descriptors are held here.
   void report_held_descriptors(std::size_t descriptors);
 
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -234,10 +234,10 @@
   bool handing = handover_ && handover_->has_successor();
   if (handing)
     clients_.set_give([this](int client) {
-      switch (handover_->pass_client(client)) {
-        case Handover::PassResult::Passed:
+      switch (handover_->hand_over_client(client)) {
+        case Handover::HandoverResult::HandedOver:
           return ClientSide::Given::Yes;
-        case Handover::PassResult::RetryLater:
+        case Handover::HandoverResult::RetryLater:
           return ClientSide::Given::Later;
         default:
           return ClientSide::Given::No;
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -84,7 +84,7 @@
   std::string server_list() override { return text_of(hand_.told()); }
   void on_successor_ready() override;
   void on_successor_lost() override;
-  void on_client_passed(Fd&& client) override { clients_.adopt(std::move(client)); }
+  void on_client_handed_over(Fd&& client) override { clients_.adopt(std::move(client)); }
   void on_predecessor_descriptors(std::size_t descriptors) override;
   void on_predecessor_gone() override;
 
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -451,7 +451,7 @@
   Micros now = clock_.now();
   idle_.dialled(now, no_room);
   if (!no_room) return;
-  ++counts_.no_room;
+  ++counts_.dials_over_connection_limit;
   pool.no_dial_until = now + kDialPause;
 }
 
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -75,7 +75,7 @@
     std::uint64_t ended_idle = 0, ended_busy = 0, malformed_answers = 0, closed_idle = 0,
                   closed_unresponsive = 0;
     std::uint64_t late_answers = 0, evicted = 0, wrong_protocol = 0;
-    std::uint64_t no_room = 0;            ///< dials that the server had no room for
+    std::uint64_t dials_over_connection_limit = 0;  ///< dials that the server had no room for
     std::uint64_t withdrawn_leaving = 0;  ///< attempts taken back unsent, since their server leaves
     std::uint64_t withdrawn_client_gone =
         0;                        ///< attempts taken back unsent, since their client has gone
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -160,7 +160,7 @@
     link.write("SERVER_ERROR busy\r\n");
     if (c.ends) link.close();
     EXPECT_EQ(dials.end_of(id), c.status) << c.what;
-    EXPECT_EQ(dials.side.counts().no_room, c.no_room) << c.what;
+    EXPECT_EQ(dials.side.counts().dials_over_connection_limit, c.no_room) << c.what;
     EXPECT_EQ(dials.side.idle_time_fraction() < 0.6, c.no_room > 0) << c.what;
   }
 }
@@ -185,7 +185,7 @@
     dials.clock.at += silent;
     RequestId refused = dials.send();
     EXPECT_EQ(dials.end_of(refused), silent ? Status::ConnectFailed : Status::NoRoom);
-    EXPECT_EQ(dials.side.counts().no_room, silent ? 0u : 1u);
+    EXPECT_EQ(dials.side.counts().dials_over_connection_limit, silent ? 0u : 1u);
   }
 }
 
