--- a/src/control/handover.cpp
+++ b/src/control/handover.cpp
@@ -200,14 +200,13 @@
   }
 }
 
-Handover::HandoverResult Handover::hand_over_client(int client) {
-  if (!has_successor()) return HandoverResult::Failed;
-  if (send_message(successor_.get(), std::string(1, kClient), client))
-    return HandoverResult::HandedOver;
+Handover::HandOverResult Handover::hand_over_client(int client) {
+  if (!has_successor()) return HandOverResult::NotSent;
+  if (send_message(successor_.get(), std::string(1, kClient), client)) return HandOverResult::Sent;
   // A full buffer, or as many descriptors on their way as one user may have.
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS
-             ? HandoverResult::RetryLater
-             : HandoverResult::Failed;
+             ? HandOverResult::RetryLater
+             : HandOverResult::NotSent;
 }
 
 void Handover::report_held_descriptors(std::size_t descriptors) {
--- a/src/control/handover.hpp
+++ b/src/control/handover.hpp
@@ -50,9 +50,9 @@
   bool has_predecessor() const { return static_cast<bool>(predecessor_); }
   bool has_successor() const { return taken_ && successor_; }
 
-  enum class HandoverResult { HandedOver, RetryLater, Failed };
+  enum class HandOverResult { Sent, RetryLater, NotSent };
   /// Passes a client's connection on.
-  HandoverResult hand_over_client(int client);
+  HandOverResult hand_over_client(int client);
   /// Tells the successor how many descriptors are held here.
   void report_held_descriptors(std::size_t descriptors);
 
