--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -751,7 +751,7 @@
   };
   explicit AbandonedAttempts(const std::string& dial)
       : side(base.get(), clock, *this, limits(), nullptr) {
-    side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
+    side.apply_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
   }
   static ServerSide::Limits limits() {
     ServerSide::Limits l;
@@ -783,7 +783,7 @@
 TEST(ServerSide, AbandonedAttemptsCauseNoMoreHandshakesThanAnswersAllow) {
   Peer server;
   AbandonedAttempts attempts(server.address());
-  const std::size_t pool = AbandonedAttempts::limits().per_server;
+  const std::size_t pool = AbandonedAttempts::limits().max_connections_per_server;
   for (int k = 0; k < 100; ++k) attempts.send_and_cancel();
   // One full pool is closed and redialled, the next is kept; attempts beyond it are not sent.
   EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
@@ -811,10 +811,10 @@
   Clock clock;
   ServerSide side(base.get(), clock, handler, {}, nullptr);
   std::string last = "s-0";
-  side.take_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
+  side.apply_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
   for (int k = 1; k < 100; ++k) {
     std::string next = "s-" + std::to_string(k);
-    side.take_list(parse_host_list(list_json(
+    side.apply_list(parse_host_list(list_json(
         k + 1, false, {host_json(next, "127.0.0.1:9"), host_json(last, "127.0.0.1:9", "left")})));
     EXPECT_EQ(side.servers(), 1u);
     last = next;
