--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -15,7 +15,7 @@
 
 #include "core/core.hpp"
 #include "emu/day.hpp"
-#include "membership/hand_list.hpp"
+#include "membership/operator_overrides.hpp"
 #include "net/config.hpp"
 #include "net/server_side.hpp"
 
@@ -61,7 +61,7 @@
   ServerSide side(base.get(), clock, quiet, {}, &day.settings.report_fields);
   Core core(day.settings, 1, clock, quiet, 2000, 32'000);
   core.start({});
-  HandList hand;
+  OperatorOverrides hand;
   std::vector<double> read, taken, decided, copied;
   std::size_t bytes = 0;
   for (int round = 1; round <= rounds; ++round) {
@@ -72,7 +72,7 @@
     auto t1 = std::chrono::steady_clock::now();
     HostList list = parse_host_list(copy);
     auto t2 = std::chrono::steady_clock::now();
-    list = hand.take(std::move(list));
+    list = hand.apply_list(std::move(list));
     side.take_list(list);
     auto t3 = std::chrono::steady_clock::now();
     std::vector<robinseam::Server> all;
--- a/src/judge/drain_judge.cpp
+++ b/src/judge/drain_judge.cpp
@@ -4,23 +4,23 @@
 
 namespace arrowfork::judge {
 
-const char* text_of(DrainSentence sentence) {
-  switch (sentence) {
-    case DrainSentence::AnswerWritten:
+const char* description_of(NotificationRule rule) {
+  switch (rule) {
+    case NotificationRule::AnswerWritten:
       return "an answer was written";
-    case DrainSentence::WatchGoesOn:
+    case NotificationRule::WatchGoesOn:
       return "it changed between an answer and the next call within 200 ms";
-    case DrainSentence::SixSeconds:
+    case NotificationRule::SixSeconds:
       return "6 s after discovery had it";
-    case DrainSentence::SilentWatch:
+    case NotificationRule::SilentWatch:
       return "its watch fell silent";
-    case DrainSentence::FailedBeside:
+    case NotificationRule::FailedBeside:
       return "6 s after a call failed beside a silent watch";
-    case DrainSentence::TimeForAsking:
+    case NotificationRule::TimeForAsking:
       return "the time for asking is over";
-    case DrainSentence::Agent:
+    case NotificationRule::Agent:
       return "the agent has it";
-    case DrainSentence::NewAddress:
+    case NotificationRule::NewAddress:
       return "4 s after SIGHUP";
   }
   return "";
@@ -29,47 +29,47 @@
 std::vector<DrainViolation> DrainJudge::check(const std::vector<DrainRecord>& records) {
   std::vector<DrainViolation> all;
   for (const DrainRecord& record : records)
-    if (auto violation = take(record)) all.push_back(*violation);
+    if (auto violation = process(record)) all.push_back(*violation);
   return all;
 }
 
-std::optional<DrainViolation> DrainJudge::take(const DrainRecord& r) {
+std::optional<DrainViolation> DrainJudge::process(const DrainRecord& r) {
   // What counted as told before this event counts still, whatever the event changes.
   for (auto& [server, leaving] : leaving_) settle(leaving, r.at);
   last_ = r.at;
-  switch (r.what) {
-    case What::Leaves:
+  switch (r.kind) {
+    case Kind::ServerLeaves:
       leaving_.try_emplace(r.server, Leaving{r.at, r.version, std::nullopt});
       break;
-    case What::Returns:
+    case Kind::ServerReturns:
       leaving_.erase(r.server);
       break;
-    case What::Written:
+    case Kind::AnswerWritten:
       written(r);
       break;
-    case What::Unreachable:
+    case Kind::DiscoveryUnreachable:
       reachable_since_.reset();
       break;
-    case What::Reachable:
+    case Kind::DiscoveryReachable:
       reach(r.at);
       break;
-    case What::Muted:
-      muted_ = std::max(r.at + kLatest, r.until + kAfterWait);
+    case Kind::WatchSilent:
+      muted_ = std::max(r.at + kNotifiedAfter, r.until + kAfterSilentWatch);
       break;
-    case What::Called:
+    case Kind::CallStarted:
       called(r);
       break;
-    case What::CallFailed:
+    case Kind::CallFailed:
       call_failed(r.at);
       break;
-    case What::Hangup:
+    case Kind::AddressChanged:
       // The first one's time runs on, however many follow.
-      if (!hangup_) hangup_ = r.at + kAfterHangup;
+      if (!hangup_) hangup_ = r.at + kAfterAddressChange;
       break;
-    case What::Started:
+    case Kind::ProcessStarted:
       started(r.at);
       break;
-    case What::Sent:
+    case Kind::RequestSent:
       return judge(r);
   }
   return std::nullopt;
@@ -78,17 +78,17 @@
 void DrainJudge::written(const DrainRecord& r) {
   for (auto& [server, leaving] : leaving_)
     if (r.version == 0 || r.version >= leaving.version)
-      tell(leaving, r.at, DrainSentence::AnswerWritten);
+      tell(leaving, r.at, NotificationRule::AnswerWritten);
   muted_.reset(), hangup_.reset(), failed_at_.reset();
   written_at_ = r.at;
   call_out_ = call_failed_ = false;
 }
 
 void DrainJudge::called(const DrainRecord& r) {
-  bool goes_on = !rules_.pushed && written_at_ && r.at - *written_at_ <= kWatchGoesOn;
+  bool goes_on = !rules_.pushed && written_at_ && r.at - *written_at_ <= kSameWatchGap;
   if (goes_on)
     for (auto& [server, leaving] : leaving_)
-      if (leaving.left >= *written_at_) tell(leaving, r.at, DrainSentence::WatchGoesOn);
+      if (leaving.left >= *written_at_) tell(leaving, r.at, NotificationRule::WatchGoesOn);
   written_at_.reset();
   called_ = r.at;
   call_out_ = true, call_failed_ = false;
@@ -110,12 +110,12 @@
 /// What a silent watch missed, or another address has, can be asked for only from here on.
 void DrainJudge::reach(Micros now) {
   reachable_since_ = now;
-  if (muted_) muted_ = std::max(*muted_, now + kLatest);
-  if (hangup_ && !rules_.pushed) hangup_ = std::max(*hangup_, now + kLatest);
+  if (muted_) muted_ = std::max(*muted_, now + kNotifiedAfter);
+  if (hangup_ && !rules_.pushed) hangup_ = std::max(*hangup_, now + kNotifiedAfter);
 }
 
-void DrainJudge::tell(Leaving& leaving, Micros at, DrainSentence sentence) {
-  if (!leaving.told || at < leaving.told->at) leaving.told = Told{at, sentence};
+void DrainJudge::tell(Leaving& leaving, Micros at, NotificationRule rule) {
+  if (!leaving.told || at < leaving.told->at) leaving.told = Told{at, rule};
 }
 
 Micros DrainJudge::had(const Leaving& leaving) const {
@@ -125,7 +125,7 @@
 /// A silent watch has its own time, which may be later.
 DrainJudge::Time DrainJudge::by_six_seconds(const Leaving& leaving) const {
   if (muted_) return std::nullopt;
-  return std::max(had(leaving) + kLatest, started_ + rules_.first_call);
+  return std::max(had(leaving) + kNotifiedAfter, started_ + rules_.first_call);
 }
 
 DrainJudge::Time DrainJudge::by_silent_watch(const Leaving& leaving) const {
@@ -135,7 +135,7 @@
 
 DrainJudge::Time DrainJudge::by_failure_beside(const Leaving& leaving) const {
   if (!muted_ || !failed_at_) return std::nullopt;
-  return std::max(had(leaving), *failed_at_) + kLatest;
+  return std::max(had(leaving), *failed_at_) + kNotifiedAfter;
 }
 
 DrainJudge::Time DrainJudge::by_time_for_asking(const Leaving& leaving) const {
@@ -160,18 +160,18 @@
 
 void DrainJudge::settle(Leaving& leaving, Micros now) {
   if (!reachable_since_) return;
-  auto by = [&](Time at, DrainSentence sentence) {
+  auto by = [&](Time at, NotificationRule rule) {
     if (!at) return;
     // A sentence that holds only since the last record tells nothing of before.
     Micros told = std::max({*at, started_, last_});
-    if (told <= now) tell(leaving, told, sentence);
+    if (told <= now) tell(leaving, told, rule);
   };
-  by(by_agent(leaving), DrainSentence::Agent);
-  by(by_new_address(leaving), DrainSentence::NewAddress);
-  by(by_silent_watch(leaving), DrainSentence::SilentWatch);
-  by(by_six_seconds(leaving), DrainSentence::SixSeconds);
-  by(by_failure_beside(leaving), DrainSentence::FailedBeside);
-  by(by_time_for_asking(leaving), DrainSentence::TimeForAsking);
+  by(by_agent(leaving), NotificationRule::Agent);
+  by(by_new_address(leaving), NotificationRule::NewAddress);
+  by(by_silent_watch(leaving), NotificationRule::SilentWatch);
+  by(by_six_seconds(leaving), NotificationRule::SixSeconds);
+  by(by_failure_beside(leaving), NotificationRule::FailedBeside);
+  by(by_time_for_asking(leaving), NotificationRule::TimeForAsking);
 }
 
 std::optional<DrainViolation> DrainJudge::judge(const DrainRecord& r) const {
@@ -179,7 +179,7 @@
   if (at == leaving_.end() || !at->second.told) return std::nullopt;
   const Told& told = *at->second.told;
   if (r.at <= told.at + rules_.grace + rules_.slack) return std::nullopt;
-  return DrainViolation{r.server, at->second.left, told.at, r.at, told.sentence};
+  return DrainViolation{r.server, at->second.left, told.at, r.at, told.rule};
 }
 
 }  // namespace arrowfork::judge
--- a/src/judge/drain_judge.hpp
+++ b/src/judge/drain_judge.hpp
@@ -18,28 +18,28 @@
 
 /// What was recorded of one router and its discovery.
 struct DrainRecord {
-  enum class What {
-    Leaves,       ///< discovery has it that the server drains or is gone, from `version` on
-    Returns,      ///< and that it is to be used again
-    Written,      ///< an answer that holds the list of `version` was written whole to the router
-    Unreachable,  ///< from now on discovery refuses, is silent or breaks answers off
-    Reachable,    ///< it can be called again
-    Muted,        ///< the open watch fell silent; `until`: its wait would have been over then
-    Called,       ///< the router called discovery
-    CallFailed,   ///< a call was refused, turned away, broke off or was given up
-    Hangup,       ///< a new configuration names another address, from the signal on
-    Started,      ///< a new process of the router
-    Sent,         ///< the first byte of a request went to the server
+  enum class Kind {
+    ServerLeaves,   ///< discovery has it that the server drains or is gone, from `version` on
+    ServerReturns,  ///< and that it is to be used again
+    AnswerWritten,  ///< an answer that holds the list of `version` was written whole to the router
+    DiscoveryUnreachable,  ///< from now on discovery refuses, is silent or breaks answers off
+    DiscoveryReachable,    ///< it can be called again
+    WatchSilent,     ///< the open watch fell silent; `until`: its wait would have been over then
+    CallStarted,     ///< the router called discovery
+    CallFailed,      ///< a call was refused, turned away, broke off or was given up
+    AddressChanged,  ///< a new configuration names another address, from the signal on
+    ProcessStarted,  ///< a new process of the router
+    RequestSent,     ///< the first byte of a request went to the server
   };
   Micros at = 0;
-  What what = What::Sent;
+  Kind kind = Kind::RequestSent;
   int server = -1;
   Micros until = 0;
   std::int64_t version = 0;  ///< 0 with Written: all that there is at that time
 };
 
 /// The sentence of the pages by which a change counts as told.
-enum class DrainSentence {
+enum class NotificationRule {
   AnswerWritten,  ///< STANDING: what comes in an answer counts when it is written
   WatchGoesOn,    ///< PROTOCOL: the next call within 200 ms; what changed in between counts
   SixSeconds,     ///< STANDING: 6 s after discovery had it and could be reached, whatever failed
@@ -49,15 +49,15 @@
   Agent,          ///< STANDING: pushed lists count as the agent has them
   NewAddress,     ///< DAYS: 4 s after SIGHUP
 };
-const char* text_of(DrainSentence sentence);
+const char* description_of(NotificationRule rule);
 
 struct DrainViolation {
   int server = -1;
-  Micros left = 0, told = 0, sent = 0;
-  DrainSentence sentence = DrainSentence::AnswerWritten;
+  Micros left = 0, notified = 0, sent = 0;
+  NotificationRule rule = NotificationRule::AnswerWritten;
 };
 
-struct DrainRules {
+struct DrainJudgeOptions {
   bool pushed = false;
   Micros grace = 500'000;
   Micros ask_within = 10'000'000;
@@ -70,23 +70,24 @@
 class DrainJudge {
  public:
   static constexpr Micros kSecond = 1'000'000;
-  static constexpr Micros kLatest = 6 * kSecond;     // after discovery had it and could be reached
-  static constexpr Micros kAfterWait = 2 * kSecond;  // of a silent watch
-  static constexpr Micros kAfterHangup = 4 * kSecond;  // of a new configuration
-  static constexpr Micros kWatchGoesOn = 200'000;      // from an answer to the next call
+  static constexpr Micros kNotifiedAfter =
+      6 * kSecond;  // after discovery had it and could be reached
+  static constexpr Micros kAfterSilentWatch = 2 * kSecond;    // of a silent watch
+  static constexpr Micros kAfterAddressChange = 4 * kSecond;  // of a new configuration
+  static constexpr Micros kSameWatchGap = 200'000;            // from an answer to the next call
 
-  explicit DrainJudge(const DrainRules& rules) : rules_(rules) {}
+  explicit DrainJudge(const DrainJudgeOptions& rules) : rules_(rules) {}
 
   /// A violation where the record is a request that was sent too late.
-  std::optional<DrainViolation> take(const DrainRecord& record);
+  std::optional<DrainViolation> process(const DrainRecord& record);
   std::vector<DrainViolation> check(const std::vector<DrainRecord>& records);
 
  private:
-  using What = DrainRecord::What;
+  using Kind = DrainRecord::Kind;
   using Time = std::optional<Micros>;
   struct Told {
     Micros at = 0;
-    DrainSentence sentence = DrainSentence::AnswerWritten;
+    NotificationRule rule = NotificationRule::AnswerWritten;
   };
   struct Leaving {
     Micros left = 0;
@@ -99,12 +100,12 @@
   void call_failed(Micros now);
   void started(Micros now);
   void reach(Micros now);
-  static void tell(Leaving& leaving, Micros at, DrainSentence sentence);
+  static void tell(Leaving& leaving, Micros at, NotificationRule rule);
   /// Tells what counts as told by `now` under the sentences that hold at present.
   void settle(Leaving& leaving, Micros now);
   std::optional<DrainViolation> judge(const DrainRecord& record) const;
 
-  // When the change counts, each by one sentence; nothing where that does not hold at present.
+  // When the change counts, each by one rule; nothing where that does not hold at present.
   Time by_six_seconds(const Leaving& leaving) const;
   Time by_silent_watch(const Leaving& leaving) const;
   Time by_failure_beside(const Leaving& leaving) const;
@@ -114,7 +115,7 @@
   /// Since when discovery has the change and can be reached.
   Micros had(const Leaving& leaving) const;
 
-  DrainRules rules_;
+  DrainJudgeOptions rules_;
   std::map<int, Leaving> leaving_;
   Time reachable_since_ = 0;
   Time muted_;       // what the silent watch misses counts then
--- a/src/membership/call_schedule.cpp
+++ b/src/membership/call_schedule.cpp
@@ -90,15 +90,15 @@
 
 }  // namespace
 
-const char* name_of(Fault fault) {
+const char* name_of(CallFailure fault) {
   switch (fault) {
-    case Fault::Refused:
+    case CallFailure::Refused:
       return "refused";
-    case Fault::Spoilt:
+    case CallFailure::Malformed:
       return "spoilt";
-    case Fault::Unusable:
+    case CallFailure::Unusable:
       return "unusable";
-    case Fault::TimedOut:
+    case CallFailure::TimedOut:
       return "timed_out";
   }
   return "";
@@ -108,15 +108,15 @@
   switch (reason) {
     case DeadlineReason::None:
       return "none";
-    case DeadlineReason::HeldList:
+    case DeadlineReason::InheritedList:
       return "held_list";
     case DeadlineReason::SilentCall:
       return "silent_call";
     case DeadlineReason::FailedCall:
       return "failed_call";
-    case DeadlineReason::Spoilt:
+    case DeadlineReason::RejectedAnswer:
       return "spoilt_answer";
-    case DeadlineReason::Moved:
+    case DeadlineReason::AddressChanged:
       return "moved";
   }
   return "";
@@ -174,7 +174,7 @@
   if (kind == Kind::Poll) return 0;
   if (pushed_) return agent_wait();
   if (kind == Kind::FirstWatch) return kFirstWatchWait;
-  double longest = static_cast<double>(kLongestWait) / kMostStretch;
+  double longest = static_cast<double>(kMaxWait) / kMostStretch;
   return static_cast<Micros>(stretch_ * between(kShortestWait, longest, chance));
 }
 
@@ -237,13 +237,15 @@
   return make(now, Kind::Poll, chance);
 }
 
-void CallSchedule::hold(Micros now) { add_deadline(now + kTold, DeadlineReason::HeldList); }
+void CallSchedule::add_inherited_list(Micros now) {
+  add_deadline(now + kTold, DeadlineReason::InheritedList);
+}
 
-void CallSchedule::move(Micros now, Micros within) {
-  drop();
+void CallSchedule::change_address(Micros now, Micros within) {
+  abandon_calls();
   failures_ = 0;
   moved_deadline_ = now + within;
-  add_deadline(moved_deadline_, DeadlineReason::Moved);
+  add_deadline(moved_deadline_, DeadlineReason::AddressChanged);
 }
 
 void CallSchedule::drop_before(Micros begun) {
@@ -251,7 +253,7 @@
     if (one.out && one.begun < begun) one.out = false;
 }
 
-void CallSchedule::answered(Micros now, int slot, bool news, double chance) {
+void CallSchedule::on_answer(Micros now, int slot, bool news, double chance) {
   One& one = calls_[static_cast<std::size_t>(slot)];
   if (!one.out) return;
   One was = one;
@@ -265,7 +267,7 @@
   drop_before(was.begun);
   failures_ = unusable_ = queued_ = 0;
   answered_at_ = now;
-  if (news && was.wait > 0) heard(now, chance);
+  if (news && was.wait > 0) require_new_watch(now, chance);
   clear_deadlines();
   for (const One& other : calls_)
     if (other.out) return;  // a later one: it goes on
@@ -276,7 +278,7 @@
   next_ = std::max(next_, not_before_);
 }
 
-void CallSchedule::heard(Micros now, double chance) {
+void CallSchedule::require_new_watch(Micros now, double chance) {
   if (pushed_) return;
   double margin = static_cast<double>(kNewWatchMargin) * between(0.5, 1, chance);
   not_before_ = now + kNewWatch + static_cast<Micros>(margin);
@@ -308,18 +310,18 @@
   return static_cast<Micros>(part * span * between(0.5, 1.25, chance));
 }
 
-bool CallSchedule::failed(Micros now, int slot, Fault fault, double chance) {
+bool CallSchedule::on_failure(Micros now, int slot, CallFailure fault, double chance) {
   One& one = calls_[static_cast<std::size_t>(slot)];
   if (!one.out) return false;
   One was = one;
   one.out = false;
-  if (fault == Fault::Refused) stretch(kStretchRefused);
+  if (fault == CallFailure::Refused) stretch(kStretchRefused);
   bool others = false;
   bool later_one_waits = false;  // which a call beside it could cost its place
   bool watch_is_out = false;     // and may be silent
   // A watch that was reset says nothing of a line.
-  if (!pushed_ && fault == Fault::Refused && was.wait == 0) line_ = true;
-  if (fault == Fault::TimedOut) line_ = false;
+  if (!pushed_ && fault == CallFailure::Refused && was.wait == 0) line_ = true;
+  if (fault == CallFailure::TimedOut) line_ = false;
   for (const One& other : calls_) {
     if (!other.out) continue;
     others = true;
@@ -336,25 +338,26 @@
                 : now - was.begun > kHeardWithin ? now
                 : answered_at_ == kNever         ? was.begun
                                                  : answered_at_;
-  if (fault == Fault::Spoilt || fault == Fault::Unusable) heard(now, chance);
-  if (fault == Fault::Spoilt || fault == Fault::Unusable)
-    add_deadline(now + kSpoiltTold, DeadlineReason::Spoilt);
+  if (fault == CallFailure::Malformed || fault == CallFailure::Unusable)
+    require_new_watch(now, chance);
+  if (fault == CallFailure::Malformed || fault == CallFailure::Unusable)
+    add_deadline(now + kSpoiltTold, DeadlineReason::RejectedAnswer);
   else if (!others)
     add_deadline(std::min(deadline_of(was.begun, was.wait), from + kTold),
                  DeadlineReason::FailedCall);
-  else if (fault == Fault::TimedOut)
+  else if (fault == CallFailure::TimedOut)
     add_deadline(deadline_of(was.begun, was.wait), DeadlineReason::SilentCall);
   else  // what is out may be silent, and after a call that failed what it misses counts so soon
     add_deadline(now + kTold, DeadlineReason::FailedCall);
   // The later call that is out has its own time; this one is made again before that.
   // Turned away after it had waited: discovery lives and has too many callers. Whoever presses it
   // then only takes the turn of one whose watch may be silent.
-  bool queued = !others && fault == Fault::Refused && now - was.begun > kSlowAnswer;
+  bool queued = !others && fault == CallFailure::Refused && now - was.begun > kSlowAnswer;
   Micros again = now + pause(now, queued, chance);
-  unusable_ = fault == Fault::Unusable ? unusable_ + 1 : 0;
+  unusable_ = fault == CallFailure::Unusable ? unusable_ + 1 : 0;
   if (unusable_ > 0 && unusable_ <= kQuickAgain)
     again = now + kLeastAgain + static_cast<Micros>(kAgainSpread * tier_calls() * chance);
-  bool stays = later_one_waits && !watch_is_out && fault == Fault::Refused && next_ != kNever;
+  bool stays = later_one_waits && !watch_is_out && fault == CallFailure::Refused && next_ != kNever;
   // A pause for the line's sake is not cut short by what was planned beside the call that has
   // ended.
   if (!stays) next_ = next_ == kNever || queued ? again : std::min(next_, again);
@@ -363,7 +366,7 @@
   return !pushed_ && !others;
 }
 
-void CallSchedule::drop() {
+void CallSchedule::abandon_calls() {
   add_deadlines_of_calls();
   for (One& one : calls_) one.out = false;
   next_ = kNever;
--- a/src/membership/call_schedule.hpp
+++ b/src/membership/call_schedule.hpp
@@ -19,22 +19,22 @@
 namespace robinseam::membership {
 
 /// How a call ended that brought no list that counts.
-enum class Fault {
-  Refused,   ///< turned away, reset or unreachable: discovery lives or nobody is there
-  Spoilt,    ///< an answer that broke off or can't be read
-  Unusable,  ///< a whole answer that can be read and may not change the list: a better one is near
-  TimedOut   ///< given up: nothing was heard
+enum class CallFailure {
+  Refused,    ///< turned away, reset or unreachable: discovery lives or nobody is there
+  Malformed,  ///< an answer that broke off or can't be read
+  Unusable,   ///< a whole answer that can be read and may not change the list: a better one is near
+  TimedOut    ///< given up: nothing was heard
 };
-const char* name_of(Fault fault);
+const char* name_of(CallFailure fault);
 
 /// Why something may count as told that has not been heard.
 enum class DeadlineReason {
   None,
-  HeldList,    ///< the list that was handed over may be old
-  SilentCall,  ///< a call that is out, or was given up, may have missed a change
-  FailedCall,  ///< a call was refused, reset or unreachable
-  Spoilt,      ///< an answer broke off or may not change the list
-  Moved,       ///< another address of discovery has not answered yet
+  InheritedList,   ///< the list that was handed over may be old
+  SilentCall,      ///< a call that is out, or was given up, may have missed a change
+  FailedCall,      ///< a call was refused, reset or unreachable
+  RejectedAnswer,  ///< an answer broke off or may not change the list
+  AddressChanged,  ///< another address of discovery has not answered yet
 };
 const char* name_of(DeadlineReason reason);
 
@@ -43,12 +43,12 @@
   static constexpr int kSlots = 3;  ///< calls out at once
   static constexpr Micros kNever = -1;
 
-  static constexpr Micros kUsualGrace = 500'000;
+  static constexpr Micros kDefaultGrace = 500'000;
 
   /// `routers`: of the tier, 1 or more. `pushed`: the other side is an agent on the router's own
   /// machine, whose calls cost nothing and which may be silent at any time. `grace`: so long after
   /// it is told of a drain a router may still send to the server.
-  CallSchedule(int routers, bool pushed, Micros grace = kUsualGrace)
+  CallSchedule(int routers, bool pushed, Micros grace = kDefaultGrace)
       : routers_(routers), pushed_(pushed), grace_(grace) {}
 
   /// A call to make now: in that slot, where what is out is dropped. `wait`: for news; 0: it is to
@@ -57,26 +57,26 @@
     int slot = 0;
     Micros wait = 0;
   };
-  static constexpr Micros kLongestWait = 56'000'000;
+  static constexpr Micros kMaxWait = 56'000'000;
   /// Begins, or begins anew, with a call that is answered at once. Nothing: it is too soon behind
   /// an answer, and the call is planned. `chance` is uniform from 0 to 1 in all of these.
   [[nodiscard]] std::optional<Call> begin(Micros now, double chance);
   /// A list is held that is from before: what has changed since counts within 6 s.
-  void hold(Micros now);
+  void add_inherited_list(Micros now);
   /// Another discovery: calls out at the one before are no more this machine's, and what the new
   /// one has to tell counts as told within `within`. Deadlines from before stay.
-  void move(Micros now, Micros within);
+  void change_address(Micros now, Micros within);
   /// What is out may bring an older list than is held by now: nothing of it is waited for. Its
   /// deadlines stay.
-  void drop();
+  void abandon_calls();
   /// A list that counts has come, with changes or without. Calls that began before the one in that
   /// slot are out no more.
-  void answered(Micros now, int slot, bool news, double chance);
+  void on_answer(Micros now, int slot, bool news, double chance);
   /// An answer has come, to whatever call: the next one must begin a watch of its own.
-  void heard(Micros now, double chance);
+  void require_new_watch(Micros now, double chance);
   /// True where nobody else is out. The machine makes the next call itself; with nothing to lose by
   /// it a caller may begin() sooner.
-  bool failed(Micros now, int slot, Fault fault, double chance);
+  bool on_failure(Micros now, int slot, CallFailure fault, double chance);
   /// No call is out and none will be made.
   void stop();
 
@@ -84,7 +84,7 @@
   Micros next() const { return next_; }
   std::optional<Call> advance(Micros now, double chance);
 
-  bool out(int slot) const { return calls_[static_cast<std::size_t>(slot)].out; }
+  bool in_flight(int slot) const { return calls_[static_cast<std::size_t>(slot)].out; }
   /// By when another call must have been answered; kNever: there is none.
   Micros deadline() const { return deadline_; }
   DeadlineReason deadline_reason() const { return deadline_reason_; }
--- a/src/membership/ban_file.cpp
+++ b/src/membership/disabled_servers_file.cpp
@@ -1,4 +1,4 @@
-#include "ban_file.hpp"
+#include "disabled_servers_file.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-BanFile::Mark BanFile::mark() const {
+DisabledServersFile::Mark DisabledServersFile::mark() const {
   struct stat s {};
   if (::stat(path_.c_str(), &s) != 0) return {};
   return {s.st_ino, s.st_size, std::int64_t{s.st_mtim.tv_sec} * 1'000'000'000 + s.st_mtim.tv_nsec};
 }
 
-std::optional<Bans> BanFile::read(std::string& error) const {
+std::optional<DisabledServers> DisabledServersFile::read(std::string& error) const {
   errno = 0;
   std::ifstream file(path_, std::ios::binary);
   // A file that is gone puts nobody back: only a call does. One that can't be opened now, as
@@ -51,14 +51,14 @@
     error = path_ + ": no list of bans of version 1";
     return std::nullopt;
   }
-  Bans bans;
+  DisabledServers bans;
   for (const auto& [id, since] : json["out"].items())
-    if (since.is_number_integer() && bans.size() < HandList::kMostBans)
+    if (since.is_number_integer() && bans.size() < OperatorOverrides::kMaxDisabled)
       bans[id] = since.get<robinseam::Micros>();
   return bans;
 }
 
-bool BanFile::write(const Bans& bans, std::string& error) const {
+bool DisabledServersFile::write(const DisabledServers& bans, std::string& error) const {
   Json json = {{"v", kVersion}, {"out", Json::object()}};
   for (const auto& [id, since] : bans) json["out"][id] = since;
   std::string text = json.dump(-1, ' ', false, Json::error_handler_t::replace),
@@ -72,7 +72,7 @@
   return true;
 }
 
-std::optional<Bans> BanFile::look(std::string& error) {
+std::optional<DisabledServers> DisabledServersFile::read_if_changed(std::string& error) {
   if (path_.empty()) return std::nullopt;
   Mark now = mark();
   if (now == seen_) return std::nullopt;
@@ -87,9 +87,10 @@
   return bans;
 }
 
-std::optional<Bans> BanFile::change(const std::string& id, bool out, robinseam::Micros now,
-                                    std::string& error) {
-  Bans bans = bans_;
+std::optional<DisabledServers> DisabledServersFile::set_disabled(const std::string& id, bool out,
+                                                                 robinseam::Micros now,
+                                                                 std::string& error) {
+  DisabledServers bans = bans_;
   Fd lock;
   if (!path_.empty()) {
     lock.reset(::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
@@ -103,7 +104,7 @@
   }
   bool changed = false;
   if (out) {
-    if (!bans.count(id) && bans.size() >= HandList::kMostBans) {
+    if (!bans.count(id) && bans.size() >= OperatorOverrides::kMaxDisabled) {
       error = "too many cache servers out by hand";
       return std::nullopt;
     }
--- a/src/membership/ban_file.hpp
+++ b/src/membership/disabled_servers_file.hpp
@@ -6,28 +6,28 @@
 #include <optional>
 #include <string>
 
-#include "hand_list.hpp"
+#include "operator_overrides.hpp"
 
 namespace arrowfork {
 
 /// The file is replaced as a whole by rename, so that no reader sees a part of it; who changes it
 /// holds a lock beside it meanwhile.
-class BanFile {
+class DisabledServersFile {
  public:
   /// With an empty path nothing is kept on disk and the bans are this process's alone.
-  explicit BanFile(std::string path) : path_(std::move(path)) {}
+  explicit DisabledServersFile(std::string path) : path_(std::move(path)) {}
 
   /// The bans where the file has changed since the last look. A file that is gone or can't be read
   /// as one changes nothing; `error` says why, once.
-  std::optional<Bans> look(std::string& error);
+  std::optional<DisabledServers> read_if_changed(std::string& error);
   /// Takes `id` out from `now` on, or puts it back; gives all bans as they stand then. Nothing with
   /// the reason in `error` where that could not be kept.
-  std::optional<Bans> change(const std::string& id, bool out, robinseam::Micros now,
-                             std::string& error);
+  std::optional<DisabledServers> set_disabled(const std::string& id, bool out,
+                                              robinseam::Micros now, std::string& error);
 
  private:
-  std::optional<Bans> read(std::string& error) const;
-  bool write(const Bans& bans, std::string& error) const;
+  std::optional<DisabledServers> read(std::string& error) const;
+  bool write(const DisabledServers& bans, std::string& error) const;
   /// Which file was read last.
   struct Mark {
     ino_t inode = 0;
@@ -39,7 +39,7 @@
 
   std::string path_;
   Mark seen_;
-  Bans bans_;
+  DisabledServers bans_;
   std::string said_;  // the last error
 };
 
--- a/src/membership/host_list.hpp
+++ b/src/membership/host_list.hpp
@@ -16,9 +16,10 @@
 
 struct HostList {
   std::string version;
-  bool whole = false;
+  bool full = false;
   std::vector<Host> hosts;
-  std::string fault = {};  ///< what is wrong with an entry that had to be left out; empty: none was
+  std::string entry_error =
+      {};  ///< what is wrong with an entry that had to be left out; empty: none was
 };
 
 }  // namespace arrowfork
--- a/src/membership/list_subscription.cpp
+++ b/src/membership/list_subscription.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 using robinseam::Micros;
-using robinseam::membership::Fault;
+using robinseam::membership::CallFailure;
 
 constexpr Micros kMillisecond = 1000, kSecond = 1000 * kMillisecond;
 
@@ -45,9 +45,9 @@
   switch (reason) {
     case CancelReason::Replaced:
       return "replaced";
-    case CancelReason::Settled:
+    case CancelReason::Superseded:
       return "settled";
-    case CancelReason::Moved:
+    case CancelReason::AddressChanged:
       return "moved";
     case CancelReason::Stopped:
       return "stopped";
@@ -64,11 +64,11 @@
       schedule_(options.routers, options.pushed, options.grace),
       random_(static_cast<std::minstd_rand::result_type>(options.seed)) {
   ids_.fill(kNone);
-  guard_.hold(known);
+  guard_.set_current(known);
   if (options.pushed)
     watch(now);
   else if (!known.hosts.empty())
-    schedule_.hold(now);
+    schedule_.add_inherited_list(now);
 }
 
 void ListSubscription::watch(Micros now) {
@@ -76,18 +76,18 @@
   if (auto due = schedule_.begin(now, chance())) call(*due, now);
 }
 
-void ListSubscription::look_again(Micros now, Micros span) {
+void ListSubscription::poll_within(Micros now, Micros span) {
   look_at_ = now + static_cast<Micros>(chance() * static_cast<double>(span));
 }
 
-void ListSubscription::fetch(Micros now) {
+void ListSubscription::fetch_full_list(Micros now) {
   ask_whole_ = true;
   watch(now);
 }
 
 /// The new service need not count versions as the old one did, so it is asked for its whole list.
 /// Calls that are out at the old address are not renewed: it takes no new ones.
-void ListSubscription::move_to(const std::string& address, Micros now) {
+void ListSubscription::change_address(const std::string& address, Micros now) {
   Former former;
   former.guard = guard_;
   for (int& id : ids_)
@@ -99,8 +99,8 @@
   formers_until_ = CallSchedule::kNever;
   while (former_calls() > kMostFormerCalls) cancel_former(0);
   address_ = address;
-  guard_.forget_version();
-  schedule_.move(now, kMoveWithin);
+  guard_.reset_version();
+  schedule_.change_address(now, kMoveWithin);
   watch(now);
 }
 
@@ -119,12 +119,12 @@
   out.id = ids_[slot] = ++last_id_;
   out.address = address_;
   out.path = kPath;
-  out.limit = kCallTime;
+  out.timeout = kCallTime;
   whole_asked_[slot] = guard_.version().empty() || ask_whole_;
   if (!whole_asked_[slot]) {
     int wait = std::max(kShortWaitMs, static_cast<int>(call.wait / kMillisecond));
     out.path += "?index=" + escaped(guard_.version()) + "&wait=" + std::to_string(wait);
-    out.limit += wait * kMillisecond;
+    out.timeout += wait * kMillisecond;
   }
   transport_.start(out);
   follow(now);
@@ -142,7 +142,7 @@
 }
 
 void ListSubscription::cancel_former(std::size_t which) {
-  for (int id : formers_[which].ids) transport_.cancel(id, CancelReason::Moved);
+  for (int id : formers_[which].ids) transport_.cancel(id, CancelReason::AddressChanged);
   formers_.erase(formers_.begin() + static_cast<std::ptrdiff_t>(which));
 }
 
@@ -162,7 +162,7 @@
 }
 
 void ListSubscription::cancel_lingering() {
-  transport_.cancel(lingering_.front().id, CancelReason::Settled);
+  transport_.cancel(lingering_.front().id, CancelReason::Superseded);
   lingering_.erase(lingering_.begin());
 }
 
@@ -173,29 +173,29 @@
 
 void ListSubscription::follow(Micros now) {
   for (std::size_t slot = 0; slot < ids_.size(); ++slot)
-    if (!schedule_.out(static_cast<int>(slot))) linger(slot, now);
+    if (!schedule_.in_flight(static_cast<int>(slot))) linger(slot, now);
 }
 
-bool ListSubscription::may_count(ListGuard& guard, std::optional<HostList>& list) {
+bool ListSubscription::may_count(ListValidator& guard, std::optional<HostList>& list) {
   if (!list) return false;
-  bool unnamed_have_left = guard.unnamed_have_left(*list);
-  std::string reason = guard.refuse(*list);
+  bool drain_unlisted = guard.drains_unlisted(*list);
+  std::string reason = guard.validate(*list);
   if (reason.empty()) {
-    merge_entries(*list);
+    merge_duplicates(*list);
     return true;
   }
-  handler_.on_refused(reason);
-  drain(*list, unnamed_have_left);
+  handler_.on_list_rejected(reason);
+  drain(*list, drain_unlisted);
   return false;
 }
 
 /// The whole list has to say what became of these servers.
-void ListSubscription::drain(const HostList& list, bool unnamed_have_left) {
+void ListSubscription::drain(const HostList& list, bool drain_unlisted) {
   ask_whole_ = true;
-  handler_.on_drains(list, unnamed_have_left);
+  handler_.on_drains(list, drain_unlisted);
 }
 
-void ListSubscription::ended(int id, ListResult result, Micros now) {
+void ListSubscription::on_call_ended(int id, ListResult result, Micros now) {
   for (Former& former : formers_) {
     if (std::erase(former.ids, id) == 0) continue;
     take_former(former, std::move(result), now);
@@ -208,7 +208,7 @@
   auto at = std::find(ids_.begin(), ids_.end(), id);
   if (at == ids_.end()) return;
   *at = kNone;
-  if (result.may_come) hear_out(id, now);
+  if (result.may_resume) hear_out(id, now);
   take(static_cast<std::size_t>(at - ids_.begin()), std::move(result), now);
 }
 
@@ -218,14 +218,14 @@
 void ListSubscription::take_former(Former& former, ListResult result, Micros now) {
   std::optional<HostList>& list = result.list;
   if (!list) return;
-  schedule_.heard(now, chance());
+  schedule_.require_new_watch(now, chance());
   if (!may_count(former.guard, list)) {
     watch(now);
     return;
   }
-  if (!list->whole && list->hosts.empty()) return;
+  if (!list->full && list->hosts.empty()) return;
   if (guard_.version().empty()) {
-    schedule_.drop();
+    schedule_.abandon_calls();
     watch(now);
     handler_.on_hosts(std::move(*list));
     return;
@@ -238,8 +238,8 @@
 /// known.
 void ListSubscription::take_lingering(ListResult result, Micros now) {
   std::optional<HostList>& list = result.list;
-  if (!list || !(version().empty() || guard_.newer(*list))) return;
-  schedule_.heard(now, chance());
+  if (!list || !(version().empty() || guard_.is_newer(*list))) return;
+  schedule_.require_new_watch(now, chance());
   if (may_count(guard_, list))
     handler_.on_hosts(std::move(*list));
   else
@@ -250,8 +250,8 @@
   std::optional<HostList>& list = result.list;
   bool counts = may_count(guard_, list);
   if (!counts) {
-    Fault fault = list ? Fault::Unusable : result.fault;
-    bool alone = schedule_.failed(now, static_cast<int>(slot), fault, chance());
+    CallFailure fault = list ? CallFailure::Unusable : result.failure;
+    bool alone = schedule_.on_failure(now, static_cast<int>(slot), fault, chance());
     follow(now);
     handler_.on_call_failed();
     if (alone) handler_.on_hosts_failed();
@@ -259,10 +259,10 @@
   }
   // Only a whole list says what became of servers in an answer that was refused, or what comes in
   // its place.
-  if (list->whole || whole_asked_[slot]) ask_whole_ = false;
+  if (list->full || whole_asked_[slot]) ask_whole_ = false;
   if (!formers_.empty() && formers_until_ == CallSchedule::kNever) formers_until_ = now + kLinger;
-  bool news = list->whole || !list->hosts.empty();
-  schedule_.answered(now, static_cast<int>(slot), news, chance());
+  bool news = list->full || !list->hosts.empty();
+  schedule_.on_answer(now, static_cast<int>(slot), news, chance());
   // A whole list is answered at once and no watch, so its silence must be noticed as soon.
   if (ask_whole_) watch(now);
   follow(now);
--- a/src/membership/list_subscription.hpp
+++ b/src/membership/list_subscription.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "call_schedule.hpp"
-#include "list_guard.hpp"
+#include "list_validator.hpp"
 
 namespace arrowfork {
 
@@ -20,29 +20,29 @@
   int id = 0;  ///< new with every call of a subscription
   std::string address;
   std::string path;
-  robinseam::Micros limit = 0;  ///< given up after this time
+  robinseam::Micros timeout = 0;  ///< given up after this time
 };
 
 /// How a call ended.
 struct ListResult {
   std::optional<HostList> list;  ///< none: the call failed, as `fault` has it
-  robinseam::membership::Fault fault = robinseam::membership::Fault::Refused;
+  robinseam::membership::CallFailure failure = robinseam::membership::CallFailure::Refused;
   /// The answer has begun and stopped short. It may still come: the call is out until it is
   /// cancelled or ended once more.
-  bool may_come = false;
+  bool may_resume = false;
 };
 
 /// Why a call that is out is given up.
 enum class CancelReason {
-  Replaced,  ///< its slot is needed for a new call
-  Settled,   ///< a later call was answered, and this one has been heard out
-  Moved,     ///< its address was left
-  Stopped,   ///< the subscription ends
+  Replaced,        ///< its slot is needed for a new call
+  Superseded,      ///< a later call was answered, and this one has been heard out
+  AddressChanged,  ///< its address was left
+  Stopped,         ///< the subscription ends
 };
 const char* name_of(CancelReason reason);
 
 /// Makes the calls of a subscription. Each call that is started ends in one
-/// ListSubscription::ended(), unless it is cancelled before.
+/// ListSubscription::on_call_ended(), unless it is cancelled before.
 class ListTransport {
  public:
   virtual ~ListTransport() = default;
@@ -64,16 +64,16 @@
     /// None is out: the next one is planned, and the handler may call sooner.
     virtual void on_hosts_failed() = 0;
     /// An answer that can be read may not change the list, for that reason.
-    virtual void on_refused(const std::string& reason) = 0;
-    /// What such an answer says of servers that leave holds all the same; see drains_in().
-    virtual void on_drains(const HostList& list, bool unnamed_have_left) = 0;
+    virtual void on_list_rejected(const std::string& reason) = 0;
+    /// What such an answer says of servers that leave holds all the same; see extract_drains().
+    virtual void on_drains(const HostList& list, bool drain_unlisted) = 0;
   };
 
   struct Options {
-    int routers = 1;                           ///< of the tier
-    bool pushed = false;                       ///< lists come from an agent on the own machine
-    std::uint64_t seed = 0;                    ///< of the jitter
-    Micros grace = CallSchedule::kUsualGrace;  ///< of drains
+    int routers = 1;                             ///< of the tier
+    bool pushed = false;                         ///< lists come from an agent on the own machine
+    std::uint64_t seed = 0;                      ///< of the jitter
+    Micros grace = CallSchedule::kDefaultGrace;  ///< of drains
   };
 
   /// `known`: the list that is held at `now`.
@@ -84,17 +84,17 @@
   /// answer.
   void watch(Micros now);
   /// Asks for changes anew at a random time within `span`, since what is held may be from before.
-  void look_again(Micros now, Micros span);
+  void poll_within(Micros now, Micros span);
   /// Asks for the whole list.
-  void fetch(Micros now);
+  void fetch_full_list(Micros now);
   /// Goes over to another address without a gap: what is out at those before stays until the new
   /// one has given its whole list, and what they still bring counts.
-  void move_to(const std::string& address, Micros now);
+  void change_address(const std::string& address, Micros now);
   /// Cancels all calls and plans no more.
   void stop();
 
   /// The transport's word on a call.
-  void ended(int id, ListResult result, Micros now);
+  void on_call_ended(int id, ListResult result, Micros now);
   /// When advance() has to be called; CallSchedule::kNever: there is nothing to wait for.
   Micros next() const;
   void advance(Micros now);
@@ -116,7 +116,7 @@
   /// An address that was left, and the calls that are out there.
   struct Former {
     std::vector<int> ids;
-    ListGuard guard;
+    ListValidator guard;
   };
   /// A call that is not waited for any more, since a later one was answered. What was written to it
   /// in that moment counts as told, so it is heard out for a while.
@@ -135,9 +135,9 @@
   void take_former(Former& former, ListResult result, Micros now);
   void take_lingering(ListResult result, Micros now);
   /// Acts on what an answer says of servers that leave, and no more of it.
-  void drain(const HostList& list, bool unnamed_have_left);
+  void drain(const HostList& list, bool drain_unlisted);
   /// Whether the answer may change the list; says so where not.
-  bool may_count(ListGuard& guard, std::optional<HostList>& list);
+  bool may_count(ListValidator& guard, std::optional<HostList>& list);
   void cancel_slot(std::size_t slot, CancelReason reason);
   /// The call in the slot is out still and not waited for.
   void linger(std::size_t slot, Micros now);
@@ -154,7 +154,7 @@
   ListTransport& transport_;
   Handler& handler_;
   std::string address_;
-  ListGuard guard_;
+  ListValidator guard_;
   CallSchedule schedule_;
   /// By slot of `schedule_`: the call that is out there.
   std::array<int, CallSchedule::kSlots> ids_;
--- a/src/membership/list_guard.cpp
+++ b/src/membership/list_validator.cpp
@@ -1,4 +1,4 @@
-#include "list_guard.hpp"
+#include "list_validator.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -33,39 +33,39 @@
 
 }  // namespace
 
-void ListGuard::hold(const HostList& list) {
+void ListValidator::set_current(const HostList& list) {
   version_ = list.version;
   back_version_.clear(), back_ = 0;
   unlikely_ = 0;
   bool named = std::any_of(list.hosts.begin(), list.hosts.end(),
                            [](const Host& h) { return h.server.health != Health::Gone; });
-  any_ = named || (any_ && !list.whole);
+  any_ = named || (any_ && !list.full);
 }
 
-bool ListGuard::unnamed_have_left(const HostList& list) const {
+bool ListValidator::drains_unlisted(const HostList& list) const {
   bool lost_its_state = list.hosts.empty() && before(list.version, version_);
-  return list.whole && !lost_its_state;
+  return list.full && !lost_its_state;
 }
 
-bool ListGuard::newer(const HostList& list) const { return before(version_, list.version); }
+bool ListValidator::is_newer(const HostList& list) const { return before(version_, list.version); }
 
-std::string ListGuard::refuse(const HostList& list) {
-  std::string unlikely = list.fault.empty() ? twice_named(list) : list.fault;
-  if (unlikely.empty() && list.whole && list.hosts.empty() && any_)
+std::string ListValidator::validate(const HostList& list) {
+  std::string unlikely = list.entry_error.empty() ? twice_named(list) : list.entry_error;
+  if (unlikely.empty() && list.full && list.hosts.empty() && any_)
     unlikely = "a whole list that names no server";
-  unlikely_ = !unlikely.empty() && list.whole ? unlikely_ + 1 : 0;
+  unlikely_ = !unlikely.empty() && list.full ? unlikely_ + 1 : 0;
   if (!unlikely.empty() && unlikely_ < kMeant) return unlikely;
   if (before(list.version, version_)) {
-    bool onward = list.whole && !before(list.version, back_version_);
-    back_ = onward ? back_ + 1 : list.whole;
-    back_version_ = list.whole ? list.version : "";
+    bool onward = list.full && !before(list.version, back_version_);
+    back_ = onward ? back_ + 1 : list.full;
+    back_version_ = list.full ? list.version : "";
     if (back_ < kAnew) return "version " + list.version + " after " + version_;
   }
   hold(list);
   return {};
 }
 
-void merge_entries(HostList& list) {
+void merge_duplicates(HostList& list) {
   std::unordered_map<std::string, std::size_t> at;
   std::vector<Host> merged;
   for (Host& host : list.hosts) {
@@ -82,8 +82,8 @@
   list.hosts = std::move(merged);
 }
 
-HostList drains_in(const HostList& refused, bool unnamed_have_left,
-                   const std::unordered_map<std::string, Host>& held) {
+HostList extract_drains(const HostList& refused, bool drain_unlisted,
+                        const std::unordered_map<std::string, Host>& held) {
   std::unordered_set<std::string> named, leaving;
   for (const Host& host : refused.hosts) {
     named.insert(host.server.id);
@@ -91,7 +91,7 @@
   }
   HostList drains;
   for (const auto& [id, host] : held) {
-    bool leaves = leaving.count(id) || (unnamed_have_left && !named.count(id));
+    bool leaves = leaving.count(id) || (drain_unlisted && !named.count(id));
     if (!leaves || host.server.health != Health::Ready) continue;
     drains.hosts.push_back(host);
     drains.hosts.back().server.health = Health::Draining;
--- a/src/membership/list_guard.hpp
+++ b/src/membership/list_validator.hpp
@@ -22,25 +22,25 @@
 /// keeps to it: the third whole list in a row that lies back, and not behind the ones refused
 /// before it, is taken.
 ///
-/// What a refused answer says of servers that leave holds at once all the same (drains_in()).
-class ListGuard {
+/// What a refused answer says of servers that leave holds at once all the same (extract_drains()).
+class ListValidator {
  public:
   static constexpr int kAnew = 3;
   static constexpr int kMeant = 2;
 
   /// What is wrong with the answer; empty: nothing, and it is held from now on.
-  std::string refuse(const HostList& list);
+  std::string validate(const HostList& list);
   /// Whether a server that the answer does not name is to get nothing new: in any whole list but an
   /// empty one that goes back, as from a registry that has lost its state.
-  bool unnamed_have_left(const HostList& list) const;
+  bool drains_unlisted(const HostList& list) const;
   /// Whether the answer's version is a number above the one that is held.
-  bool newer(const HostList& list) const;
+  bool is_newer(const HostList& list) const;
   /// The version that is held; empty before the first list.
   const std::string& version() const { return version_; }
   /// The list that the process holds already.
-  void hold(const HostList& list);
+  void set_current(const HostList& list);
   /// Another discovery, that need not count as the last one did.
-  void forget_version() { version_.clear(), back_version_.clear(), back_ = 0; }
+  void reset_version() { version_.clear(), back_version_.clear(), back_ = 0; }
 
  private:
   std::string version_;
@@ -52,12 +52,12 @@
 
 /// One entry for each server of a list that names some twice: the last one, or what says that the
 /// server leaves.
-void merge_entries(HostList& list);
+void merge_duplicates(HostList& list);
 
 /// What an answer that may not change the list says of servers that leave, as a change of the held
 /// list: to send nothing new to a server that is well is the safe side until a list is taken.
-/// `unnamed_have_left`: so have those of `held` that it does not name.
-HostList drains_in(const HostList& refused, bool unnamed_have_left,
-                   const std::unordered_map<std::string, Host>& held);
+/// `drain_unlisted`: so have those of `held` that it does not name.
+HostList extract_drains(const HostList& refused, bool drain_unlisted,
+                        const std::unordered_map<std::string, Host>& held);
 
 }  // namespace arrowfork
--- a/src/membership/hand_list.cpp
+++ b/src/membership/operator_overrides.cpp
@@ -1,4 +1,4 @@
-#include "hand_list.hpp"
+#include "operator_overrides.hpp"
 
 #include <vector>
 
@@ -7,7 +7,7 @@
 using robinseam::Health;
 using robinseam::Micros;
 
-Host HandList::over(const Host& host) {
+Host OperatorOverrides::over(const Host& host) {
   Host one = host;
   const std::string& id = host.server.id;
   if (bans_.count(id)) {
@@ -21,20 +21,20 @@
   return one;
 }
 
-void HandList::forget(const std::string& id) {
+void OperatorOverrides::forget(const std::string& id) {
   told_.erase(id);
   acted_.erase(id);
   back_.erase(id);
   if (!gone_.insert(id).second) return;
   gone_order_.push_back(id);
-  if (gone_order_.size() <= kMostGone) return;
+  if (gone_order_.size() <= kMaxGoneIds) return;
   gone_.erase(gone_order_.front());
   gone_order_.pop_front();
 }
 
-HostList HandList::take(HostList list) {
+HostList OperatorOverrides::apply_list(HostList list) {
   if (!list.version.empty()) version_ = list.version;
-  if (list.whole) {
+  if (list.full) {
     std::unordered_set<std::string> named;
     for (const Host& host : list.hosts) named.insert(host.server.id);
     std::vector<std::string> missing;
@@ -55,7 +55,7 @@
   return list;
 }
 
-HostList HandList::set_bans(const Bans& bans, Micros now) {
+HostList OperatorOverrides::set_disabled(const DisabledServers& bans, Micros now) {
   std::vector<std::string> changed;
   for (const auto& [id, since] : bans)
     if (!bans_.count(id)) changed.push_back(id);
@@ -76,14 +76,14 @@
   return part;
 }
 
-bool HandList::known(const std::string& id) const {
+bool OperatorOverrides::is_known(const std::string& id) const {
   return told_.count(id) || bans_.count(id) || gone_.count(id);
 }
 
-HostList HandList::told() const {
+HostList OperatorOverrides::discovered_list() const {
   HostList list;
   list.version = version_;
-  list.whole = true;
+  list.full = true;
   for (const auto& [id, host] : told_) list.hosts.push_back(host);
   return list;
 }
--- a/src/membership/hand_list.hpp
+++ b/src/membership/operator_overrides.hpp
@@ -12,31 +12,31 @@
 namespace arrowfork {
 
 /// Servers out by hand, each with the time of the first call that took it out.
-using Bans = std::map<std::string, robinseam::Micros>;
+using DisabledServers = std::map<std::string, robinseam::Micros>;
 
 /// A server out by hand is told onward as leaving, whatever the list says, until it is put back.
 /// From then on it is presumed to have been started anew at that moment, and so to be cold, unless
 /// the list tells of a start after the ban.
-class HandList {
+class OperatorOverrides {
  public:
   /// Ids that were listed once are known for good, but at most so many of those that have gone.
-  static constexpr std::size_t kMostGone = 4096;
-  /// Bans at once; more are refused.
-  static constexpr std::size_t kMostBans = 1024;
+  static constexpr std::size_t kMaxGoneIds = 4096;
+  /// DisabledServers at once; more are refused.
+  static constexpr std::size_t kMaxDisabled = 1024;
 
   /// Takes over a list and gives what the router is to act on in its place.
-  HostList take(HostList list);
+  HostList apply_list(HostList list);
   /// Takes over the bans as they stand now. Gives the entries that change, as a part of a list.
-  HostList set_bans(const Bans& bans, robinseam::Micros now);
+  HostList set_disabled(const DisabledServers& bans, robinseam::Micros now);
   /// Whether the id was ever listed, or is out.
-  bool known(const std::string& id) const;
-  const Bans& bans() const { return bans_; }
+  bool is_known(const std::string& id) const;
+  const DisabledServers& disabled() const { return bans_; }
   /// The servers on the list as it is acted on, those that leave among them.
-  const std::unordered_map<std::string, Host>& listed() const { return acted_; }
+  const std::unordered_map<std::string, Host>& effective_hosts() const { return acted_; }
   /// The same as discovery has told it, without what was done by hand.
-  const std::unordered_map<std::string, Host>& told_hosts() const { return told_; }
+  const std::unordered_map<std::string, Host>& discovered_hosts() const { return told_; }
   /// The list as discovery told it, whole.
-  HostList told() const;
+  HostList discovered_list() const;
 
  private:
   struct Back {
@@ -47,7 +47,7 @@
 
   std::string version_;
   std::unordered_map<std::string, Host> told_, acted_;
-  Bans bans_;
+  DisabledServers bans_;
   std::unordered_map<std::string, Back> back_;  // of listed servers
   std::unordered_set<std::string> gone_;
   std::deque<std::string> gone_order_;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -106,7 +106,7 @@
   list.version = scalar_text(*seq);
   if (list.version.empty() || list.version.size() > kMaxName)
     throw ConfigError("a host list without seq");
-  list.whole = whole->get<bool>();
+  list.full = whole->get<bool>();
   return list;
 }
 
@@ -429,7 +429,7 @@
       try {
         list.hosts.push_back(host_of(entry));
       } catch (const ConfigError& e) {
-        if (list.fault.empty()) list.fault = e.what();
+        if (list.entry_error.empty()) list.entry_error = e.what();
       }
     }
     return list;
@@ -439,7 +439,7 @@
 }
 
 std::string text_of(const HostList& list) {
-  Json json = {{"seq", list.version}, {"whole", list.whole}, {"hosts", Json::array()}};
+  Json json = {{"seq", list.version}, {"whole", list.full}, {"hosts", Json::array()}};
   for (const Host& h : list.hosts) {
     const char* health = h.server.health == robinseam::Health::Ready      ? "active"
                          : h.server.health == robinseam::Health::Draining ? "leaving"
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -47,7 +47,7 @@
   const std::string host = call.address.substr(0, call.address.rfind(':'));
   auto parsed = parse_address(call.address);
   std::uint16_t port = parsed ? ntohs(parsed->sin_port) : 0;
-  fault_ = Fault::Refused;
+  fault_ = CallFailure::Refused;
   begun_ = stalled_ = false;
   trace_ = {call.path, clock_.now(), 0, 0};
   ++counts_.calls;
@@ -61,11 +61,11 @@
   evhttp_request_set_error_cb(request, on_error);
   evhttp_connection_set_max_body_size(connection_.get(), kMaxBody);
   evhttp_connection_set_max_headers_size(connection_.get(), kMaxHeaders);
-  limit_ = call.limit;
+  limit_ = call.timeout;
   evbuffer_add_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(connection_.get())),
                   on_bytes, this);
   // For the whole call: evhttp's own time-outs begin again with every byte that trickles in.
-  timeval limit_tv = timeval_of(call.limit);
+  timeval limit_tv = timeval_of(call.timeout);
   event_add(ready_.get(), &limit_tv);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Host", authority_.c_str());
@@ -104,7 +104,7 @@
 
 void DiscoveryCall::bad(const char* what) {
   ++counts_.bad;
-  fault_ = Fault::Spoilt;
+  fault_ = CallFailure::Malformed;
   std::fprintf(stderr, "arrowfork: discovery %s: %s\n", authority_.c_str(), what);
 }
 
@@ -137,7 +137,7 @@
     return;
   }
   if (what & EV_TIMEOUT) {
-    call->fault_ = Fault::TimedOut;
+    call->fault_ = CallFailure::TimedOut;
     call->counts_.timed_out += !call->stalled_;
   }
   call->connection_.reset();
@@ -161,7 +161,7 @@
 Discovery::~Discovery() = default;
 
 void Discovery::move_to(const std::string& address) {
-  subscription_->move_to(address, clock_.now());
+  subscription_->change_address(address, clock_.now());
   arm();
 }
 
@@ -171,12 +171,12 @@
 }
 
 void Discovery::look_again(Micros span) {
-  subscription_->look_again(clock_.now(), span);
+  subscription_->poll_within(clock_.now(), span);
   arm();
 }
 
 void Discovery::fetch() {
-  subscription_->fetch(clock_.now());
+  subscription_->fetch_full_list(clock_.now());
   arm();
 }
 
@@ -191,7 +191,7 @@
   if (free == calls_.end()) {
     auto done = [this](int id, ListResult result) {
       log_end(id, result);
-      subscription_->ended(id, std::move(result), clock_.now());
+      subscription_->on_call_ended(id, std::move(result), clock_.now());
       arm();
     };
     calls_.push_back(std::make_unique<DiscoveryCall>(base_, clock_, counts_, done));
@@ -214,7 +214,7 @@
   auto call = std::find_if(calls_.begin(), calls_.end(), of_id);
   if (call == calls_.end()) return;
   const HostList* list = result.list ? &*result.list : nullptr;
-  log_call(**call, list ? "answered" : name_of(result.fault), list);
+  log_call(**call, list ? "answered" : name_of(result.failure), list);
 }
 
 void Discovery::log_call(const DiscoveryCall& call, const char* end, const HostList* list) {
@@ -229,7 +229,7 @@
   if (trace.status != 0) text += " status=" + std::to_string(trace.status);
   if (list) {
     auto leaves = [](const Host& h) { return h.server.health != robinseam::Health::Ready; };
-    text += " seq=" + list->version + (list->whole ? " whole=" : " changed=") +
+    text += " seq=" + list->version + (list->full ? " whole=" : " changed=") +
             std::to_string(list->hosts.size()) + " leaving=" +
             std::to_string(std::count_if(list->hosts.begin(), list->hosts.end(), leaves));
   }
@@ -243,7 +243,7 @@
   handler_.on_hosts(std::move(list));
 }
 
-void Discovery::on_refused(const std::string& reason) {
+void Discovery::on_list_rejected(const std::string& reason) {
   ++counts_.failed, ++counts_.bad;
   if (refused_for_ != reason)
     std::fprintf(stderr, "arrowfork: discovery: the held list stays: %s\n", reason.c_str());
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -23,7 +23,7 @@
  public:
   /// Gets the list, or nothing where the call failed in any way.
   using Done = std::function<void(int id, ListResult result)>;
-  using Fault = robinseam::membership::Fault;
+  using CallFailure = robinseam::membership::CallFailure;
   /// Counts since the start, for the log.
   struct Counts {
     std::uint64_t calls = 0, failed = 0;
@@ -71,7 +71,7 @@
   evhttp_request* request_ = nullptr;  // under way; the connection's own
   EventPtr ready_;                     // the result is handed on outside of evhttp's own call
   std::optional<HostList> result_;
-  Fault fault_ = Fault::Refused;
+  CallFailure fault_ = CallFailure::Refused;
   Micros limit_ = 0;
   int id_ = 0;
   bool begun_ = false;    // the answer has
@@ -85,8 +85,8 @@
    public:
     virtual ~Handler() = default;
     virtual void on_hosts(HostList&& list) = 0;
-    /// An answer that may not change the list tells of servers that leave; see drains_in().
-    virtual void on_drains(const HostList& list, bool unnamed_have_left) = 0;
+    /// An answer that may not change the list tells of servers that leave; see extract_drains().
+    virtual void on_drains(const HostList& list, bool drain_unlisted) = 0;
     /// Any call; the next one may be under way already.
     virtual void on_call_failed() = 0;
     /// None is out: the next one is planned, and the handler may call sooner.
@@ -117,9 +117,9 @@
   void on_hosts(HostList&& list) override;
   void on_call_failed() override { handler_.on_call_failed(); }
   void on_hosts_failed() override { handler_.on_hosts_failed(); }
-  void on_refused(const std::string& reason) override;
-  void on_drains(const HostList& list, bool unnamed_have_left) override {
-    handler_.on_drains(list, unnamed_have_left);
+  void on_list_rejected(const std::string& reason) override;
+  void on_drains(const HostList& list, bool drain_unlisted) override {
+    handler_.on_drains(list, drain_unlisted);
   }
   void log_end(int id, const ListResult& result);
   /// One line for a call that has ended or was given up. `list`: its answer.
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -28,14 +28,14 @@
 constexpr Micros kStopStep = 20 * kMillisecond;
 constexpr Micros kStopSlack = 650 * kMillisecond;
 
-// Bans are looked at and descriptors told this often: a ban told to the other process of an upgrade
-// binds here as soon, which leaves most of the grace.
+// DisabledServers are looked at and descriptors told this often: a ban told to the other process of
+// an upgrade binds here as soon, which leaves most of the grace.
 constexpr Micros kTick = 50 * kMillisecond;
 // The process is seen to have stood still where a pulse comes this late.
 constexpr Micros kPulse = kSecond / 2;
 constexpr Micros kStoodStill = 2 * kSecond;
 // A list counts as of now until a watch that waits its longest should have been answered for.
-constexpr Micros kFresh = robinseam::membership::CallSchedule::kLongestWait + 2 * kSecond;
+constexpr Micros kFresh = robinseam::membership::CallSchedule::kMaxWait + 2 * kSecond;
 // A server that is live over less than this part of its slots is avoided.
 constexpr double kAvoided = 0.05;
 // What one process of an upgrade is left with at least.
@@ -148,10 +148,10 @@
       }
     }
     std::string error;
-    if (auto bans = ban_file_.look(error)) hand_.set_bans(*bans, clock_.now());
+    if (auto bans = ban_file_.read_if_changed(error)) hand_.set_disabled(*bans, clock_.now());
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
-  HostList known = hand_.take(config_.known);
+  HostList known = hand_.apply_list(config_.known);
   servers_.take_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
   recovery_.handed(clock_.now(), any_ready());
@@ -269,20 +269,20 @@
 
 void Router::apply(HostList&& told) {
   note_leaving(told);
-  HostList list = hand_.take(std::move(told));
+  HostList list = hand_.apply_list(std::move(told));
   servers_.take_list(list);
-  core_.list(list.whole ? ListScope::Full : ListScope::Delta, servers_of(list));
+  core_.list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
 
-void Router::on_drains(const HostList& list, bool unnamed_have_left) {
-  HostList drains = drains_in(list, unnamed_have_left, hand_.told_hosts());
+void Router::on_drains(const HostList& list, bool drain_unlisted) {
+  HostList drains = extract_drains(list, drain_unlisted, hand_.discovered_hosts());
   if (!drains.hosts.empty()) apply(std::move(drains));
 }
 
 void Router::on_hosts(HostList&& told) {
   apply(std::move(told));
   recovery_.told(clock_.now(), any_ready());
-  if (memory_) memory_->told(hand_.told());
+  if (memory_) memory_->told(hand_.discovered_list());
   take_over_if_ready();
 }
 
@@ -301,9 +301,9 @@
   std::string names;
   std::unordered_map<std::string_view, Health> now;
   for (const Host& h : told.hosts) now[h.server.id] = h.server.health;
-  for (const auto& [id, held] : hand_.listed()) {
+  for (const auto& [id, held] : hand_.effective_hosts()) {
     auto at = now.find(id);
-    bool leaves = at != now.end() ? at->second != Health::Ready : told.whole;
+    bool leaves = at != now.end() ? at->second != Health::Ready : told.full;
     if (leaves && held.server.health == Health::Ready && ++count <= kNamed) names += ' ' + id;
   }
   if (count == 0) return;
@@ -314,9 +314,9 @@
 // ---- coming back ----
 
 bool Router::any_ready() const {
-  return std::any_of(hand_.listed().begin(), hand_.listed().end(), [](const auto& entry) {
-    return entry.second.server.health == robinseam::Health::Ready;
-  });
+  return std::any_of(
+      hand_.effective_hosts().begin(), hand_.effective_hosts().end(),
+      [](const auto& entry) { return entry.second.server.health == robinseam::Health::Ready; });
 }
 
 void Router::note_recovery() {
@@ -410,9 +410,9 @@
 }
 
 std::string Router::set_out(const std::string& id, bool out) {
-  if (!hand_.known(id)) return control_answer(404, "no such cache server\n");
+  if (!hand_.is_known(id)) return control_answer(404, "no such cache server\n");
   std::string error;
-  auto bans = ban_file_.change(id, out, clock_.now(), error);
+  auto bans = ban_file_.set_disabled(id, out, clock_.now(), error);
   if (!bans) {
     std::fprintf(stderr, "arrowfork: %s: %s: %s\n", out ? "disable" : "enable", id.c_str(),
                  error.c_str());
@@ -423,8 +423,8 @@
   return control_answer(200, "done\n");
 }
 
-void Router::apply_bans(const Bans& bans) {
-  HostList part = hand_.set_bans(bans, clock_.now());
+void Router::apply_bans(const DisabledServers& bans) {
+  HostList part = hand_.set_disabled(bans, clock_.now());
   if (part.hosts.empty()) return;
   servers_.take_list(part);
   core_.list(ListScope::Delta, servers_of(part));
@@ -444,9 +444,9 @@
   }
   json["backend_calls"] = servers_.counts().written;
   json["inflight"] = core_.unanswered() + clients_.piping();
-  json["hosts_listed"] = hand_.listed().size();
-  json["hosts_down"] =
-      std::count_if(hand_.listed().begin(), hand_.listed().end(), [this](const auto& entry) {
+  json["hosts_listed"] = hand_.effective_hosts().size();
+  json["hosts_down"] = std::count_if(
+      hand_.effective_hosts().begin(), hand_.effective_hosts().end(), [this](const auto& entry) {
         return entry.second.server.health != robinseam::Health::Ready ||
                core_.live_fraction(entry.first) < kAvoided;
       });
@@ -458,7 +458,7 @@
 void Router::on_tick(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   std::string error;
-  if (auto bans = r->ban_file_.look(error)) r->apply_bans(*bans);
+  if (auto bans = r->ban_file_.read_if_changed(error)) r->apply_bans(*bans);
   if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   r->handover_->tell_held(r->held_descriptors());
 }
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -11,8 +11,8 @@
 #include "../control/handover.hpp"
 #include "../core/core.hpp"
 #include "../io/io.hpp"
-#include "../membership/ban_file.hpp"
-#include "../membership/hand_list.hpp"
+#include "../membership/disabled_servers_file.hpp"
+#include "../membership/operator_overrides.hpp"
 #include "client_side.hpp"
 #include "config.hpp"
 #include "discovery.hpp"
@@ -70,7 +70,7 @@
   }
   // Discovery::Handler
   void on_hosts(HostList&& list) override;
-  void on_drains(const HostList& list, bool unnamed_have_left) override;
+  void on_drains(const HostList& list, bool drain_unlisted) override;
   void on_call_failed() override { recovery_.failed(clock_.now()); }
   void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
   // Lister
@@ -81,7 +81,7 @@
   std::string on_control(const ControlCall& call) override;
   // Handover::Handler
   int listener() override { return clients_.listener(); }
-  std::string list() override { return text_of(hand_.told()); }
+  std::string list() override { return text_of(hand_.discovered_list()); }
   void on_successor() override;
   void on_successor_lost() override;
   void on_client(Fd&& client) override { clients_.adopt(std::move(client)); }
@@ -89,7 +89,7 @@
   void on_predecessor_gone() override;
 
   std::string set_out(const std::string& id, bool out);
-  void apply_bans(const Bans& bans);
+  void apply_bans(const DisabledServers& bans);
   /// Accepts clients in the predecessor's place as soon as they can be served.
   void take_over_if_ready();
   std::size_t held_descriptors() const;
@@ -129,8 +129,8 @@
   ServerSide servers_;
   ClientSide clients_;
   Discovery discovery_;
-  HandList hand_;
-  BanFile ban_file_;
+  OperatorOverrides hand_;
+  DisabledServersFile ban_file_;
   mutable robinseam::recovery::Recovery recovery_;  // its view moves on with time alone
   robinseam::recovery::Phase told_phase_ = robinseam::recovery::Phase::Starting;
   bool told_overdue_ = false;
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -156,7 +156,7 @@
 void Router::log_states() {
   std::string line;
   std::set<std::string> down;
-  for (const auto& [id, host] : hand_.listed()) {
+  for (const auto& [id, host] : hand_.effective_hosts()) {
     if (host.server.health != robinseam::Health::Ready) continue;
     bool is_down = core_.live_fraction(id) < kDown;
     if (is_down) down.insert(id);
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -114,7 +114,7 @@
 }
 
 void ServerSide::take_list(const HostList& list) {
-  if (list.whole)
+  if (list.full)
     for (auto& [id, pool] : pools_) pool->listed = pool->wanted = false;
   for (const Host& host : list.hosts) {
     bool gone = host.server.health == robinseam::Health::Gone;
--- a/src/tier/checker.cpp
+++ b/src/tier/checker.cpp
@@ -250,7 +250,7 @@
 /// Rule 3, each router by a judge of its own.
 Verdict Checker::drains() const {
   using judge::DrainRecord;
-  judge::DrainRules rules;
+  judge::DrainJudgeOptions rules;
   rules.pushed = scenario_.pushed;
   rules.grace = figures_.drain_grace;
   rules.ask_within = scenario_.ask_within;
@@ -267,10 +267,10 @@
     return judges.at(static_cast<std::size_t>(router));
   };
   auto all = [&](const DrainRecord& record) {
-    for (judge::DrainJudge& one : judges) static_cast<void>(one.take(record));
+    for (judge::DrainJudge& one : judges) static_cast<void>(one.process(record));
   };
-  auto one = [&](int router, DrainRecord::What what, Micros at) {
-    static_cast<void>(of(router).take({at, what}));
+  auto one = [&](int router, DrainRecord::Kind what, Micros at) {
+    static_cast<void>(of(router).process({at, what}));
   };
   auto reach = [&](const Event& e) {
     for (std::size_t r = 0; r < judges.size(); ++r) {
@@ -281,7 +281,8 @@
       if (e.router >= 0) reaches[r] = e.flag;
       if (before != now)
         one(static_cast<int>(r),
-            now ? DrainRecord::What::Reachable : DrainRecord::What::Unreachable, e.at);
+            now ? DrainRecord::Kind::DiscoveryReachable : DrainRecord::Kind::DiscoveryUnreachable,
+            e.at);
     }
     if (e.router < 0) up = e.flag;
   };
@@ -292,39 +293,40 @@
         break;
       case What::Listed:
         all({e.at,
-             e.further == Event::Active ? DrainRecord::What::Returns : DrainRecord::What::Leaves,
+             e.further == Event::Active ? DrainRecord::Kind::ServerReturns
+                                        : DrainRecord::Kind::ServerLeaves,
              e.cache, 0, e.value});
         break;
       case What::Reach:
         reach(e);
         break;
       case What::Called:
-        one(e.router, DrainRecord::What::Called, e.at);
+        one(e.router, DrainRecord::Kind::CallStarted, e.at);
         break;
       case What::Told:
-        static_cast<void>(of(e.router).take(
-            {e.at, e.value > 0 ? DrainRecord::What::Written : DrainRecord::What::CallFailed, -1, 0,
-             e.value}));
+        static_cast<void>(of(e.router).process(
+            {e.at, e.value > 0 ? DrainRecord::Kind::AnswerWritten : DrainRecord::Kind::CallFailed,
+             -1, 0, e.value}));
         break;
       case What::Muted:  // noted with the time at which it counts
-        static_cast<void>(of(e.router).take(
-            {e.at, DrainRecord::What::Muted, -1, e.value - judge::DrainJudge::kAfterWait}));
+        static_cast<void>(of(e.router).process({e.at, DrainRecord::Kind::WatchSilent, -1,
+                                                e.value - judge::DrainJudge::kAfterSilentWatch}));
         break;
       case What::Moved:
-        one(e.router, DrainRecord::What::Hangup, e.at);
+        one(e.router, DrainRecord::Kind::AddressChanged, e.at);
         break;
       case What::Started:
         // The first starts lie before the load, whose begin is the origin of times.
-        if (e.at < scenario_.lasts) one(e.router, DrainRecord::What::Started, e.at);
+        if (e.at < scenario_.lasts) one(e.router, DrainRecord::Kind::ProcessStarted, e.at);
         break;
       case What::Begun: {
         auto who = router_of.find(e.id);
         if (who == router_of.end()) break;
-        auto found = of(who->second).take({e.at, DrainRecord::What::Sent, e.cache});
+        auto found = of(who->second).process({e.at, DrainRecord::Kind::RequestSent, e.cache});
         if (!found || broken++ > 0) break;
         first = "; the first by router " + std::to_string(who->second) + " to cache " +
                 std::to_string(e.cache) + " at " + shown(seconds(e.at)) + " s, told at " +
-                shown(seconds(found->told)) + " s: " + text_of(found->sentence);
+                shown(seconds(found->notified)) + " s: " + description_of(found->rule);
         break;
       }
       default:
--- a/tests/membership/call_schedule_test.cpp
+++ b/tests/membership/call_schedule_test.cpp
@@ -58,18 +58,18 @@
     if (fate == Fate::Late) ready += 2 * kSecond;
     if (refused)
       at(fate == Fate::Refused ? now + kMilli : now + 2 * kSecond,
-         [=, this] { failed(r, slot, made, Fault::Refused); });
+         [=, this] { failed(r, slot, made, CallFailure::Refused); });
     else if (fate == Fate::Spoilt)
-      at(ready, [=, this] { failed(r, slot, made, Fault::Spoilt); });
+      at(ready, [=, this] { failed(r, slot, made, CallFailure::Malformed); });
     else if (fate == Fate::Silent)
       out.dead = true;
     else
       at(ready, [=, this] { worked(r, slot, made); });
-    at(now + call.wait + 4 * kSecond, [=, this] { failed(r, slot, made, Fault::TimedOut); });
+    at(now + call.wait + 4 * kSecond, [=, this] { failed(r, slot, made, CallFailure::TimedOut); });
     follow(r);
   }
   bool is_out(std::size_t r, int slot, int made) {
-    return routers[r].schedule.out(slot) &&
+    return routers[r].schedule.in_flight(slot) &&
            routers[r].out[static_cast<std::size_t>(slot)].made == made;
   }
   void worked(std::size_t r, int slot, int made) {
@@ -87,13 +87,13 @@
     if (!is_out(r, slot, made) || one.out[static_cast<std::size_t>(slot)].dead) return;
     bool news = changed_at >= 0 && now >= changed_at && one.told_at < 0;
     if (news) one.told_at = now;
-    one.schedule.answered(now, slot, news, chance());
+    one.schedule.on_answer(now, slot, news, chance());
     follow(r);
   }
-  void failed(std::size_t r, int slot, int made, Fault fault) {
+  void failed(std::size_t r, int slot, int made, CallFailure fault) {
     if (!is_out(r, slot, made)) return;
     // With a list in hand the next call is the machine's in any case.
-    routers[r].schedule.failed(now, slot, fault, chance());
+    routers[r].schedule.on_failure(now, slot, fault, chance());
     follow(r);
   }
   void follow(std::size_t r) {
@@ -115,14 +115,14 @@
     for (std::size_t r = 0; r < routers.size(); ++r)
       for (int slot = 0; slot < CallSchedule::kSlots; ++slot) {
         Out& out = routers[r].out[static_cast<std::size_t>(slot)];
-        if (!routers[r].schedule.out(slot)) continue;
+        if (!routers[r].schedule.in_flight(slot)) continue;
         routers[r].due = down_until + 6 * kSecond;
         if (as == Fate::Silent) {
           out.dead = true;
           routers[r].due = std::max(routers[r].due, out.begun + out.wait + 2 * kSecond);
         } else {
           int made = out.made;
-          at(now + kMilli, [=, this] { failed(r, slot, made, Fault::Refused); });
+          at(now + kMilli, [=, this] { failed(r, slot, made, CallFailure::Refused); });
         }
       }
   }
@@ -131,7 +131,7 @@
     changed_at = now;
     for (Router& one : routers) {
       for (Out& out : one.out)
-        if (one.schedule.out(static_cast<int>(&out - one.out.data())) && out.wait > 0 &&
+        if (one.schedule.in_flight(static_cast<int>(&out - one.out.data())) && out.wait > 0 &&
             !out.dead) {
           out.dead = true;
           one.due = std::max(now + 6 * kSecond, out.begun + out.wait + 2 * kSecond);
@@ -380,7 +380,7 @@
   std::vector<Micros> made;
   Micros now = 0;
   auto call = schedule.begin(now, 0.5);
-  schedule.answered(10 * kMilli, call.value().slot, true, 0.5);
+  schedule.on_answer(10 * kMilli, call.value().slot, true, 0.5);
   for (now = 10 * kMilli; now < 20 * kSecond; now += kMilli)
     if (auto next = schedule.advance(now, 0.5)) {
       EXPECT_EQ(next->wait > 0, made.empty());
@@ -389,7 +389,7 @@
   ASSERT_GT(made.size(), 60u);
   for (std::size_t k = 2; k < made.size(); ++k) EXPECT_LE(made[k] - made[k - 1], 300 * kMilli);
   EXPECT_LE(made[1] - made[0], 2300 * kMilli);
-  schedule.answered(now, 0, true, 0.5);
+  schedule.on_answer(now, 0, true, 0.5);
   EXPECT_FALSE(schedule.overdue(now));
 }
 
@@ -412,9 +412,9 @@
 
 TEST(CallSchedule, ACallThatMayWaitInLineKeepsItsPlaceForFourSeconds) {
   CallSchedule schedule(44, false);
-  schedule.hold(0);
+  schedule.add_inherited_list(0);
   int slot = schedule.begin(0, kMiddle).value().slot;
-  schedule.failed(2 * kMilli, slot, Fault::Refused, kMiddle);
+  schedule.on_failure(2 * kMilli, slot, CallFailure::Refused, kMiddle);
   CallSchedule::Call waits, beside;
   Micros begun = next_call(schedule, waits);
   EXPECT_GE(next_call(schedule, beside) - begun, 4 * kSecond);
@@ -425,25 +425,25 @@
   int first = schedule.begin(0, kMiddle).value().slot;
   CallSchedule::Call second, third;
   Micros begun = next_call(schedule, second);
-  schedule.failed(begun + 2 * kMilli, first, Fault::Refused, kMiddle);
+  schedule.on_failure(begun + 2 * kMilli, first, CallFailure::Refused, kMiddle);
   EXPECT_GE(next_call(schedule, third) - begun, 4 * kSecond);
 }
 
 TEST(CallSchedule, PausesDoubleAfterCallsThatWaitedInVainAndAreShortAgainAfterAnAnswer) {
   CallSchedule schedule(20, false);
-  schedule.hold(0);
+  schedule.add_inherited_list(0);
   Micros now = 0;
   int slot = schedule.begin(now, kMiddle).value().slot;
   Micros before = 0;
   for (int k = 0; k < 3; ++k) {
     now += 2 * kSecond;
-    schedule.failed(now, slot, Fault::Refused, kMiddle);
+    schedule.on_failure(now, slot, CallFailure::Refused, kMiddle);
     CallSchedule::Call call;
     Micros begun = next_call(schedule, call);
     EXPECT_GE(begun - now, k == 0 ? kSecond / 2 : 2 * before) << k;
     before = begun - now, now = begun, slot = call.slot;
   }
-  schedule.answered(now + kMilli, slot, false, kMiddle);
+  schedule.on_answer(now + kMilli, slot, false, kMiddle);
   CallSchedule::Call watch;
   EXPECT_LT(next_call(schedule, watch) - now, 10 * kMilli);
 }
@@ -451,13 +451,13 @@
 TEST(CallSchedule, BehindAChangeTheNextWatchIsANewAndShortOne) {
   CallSchedule schedule(20, false);
   Micros now = 10 * kMilli;
-  schedule.answered(now, schedule.begin(0, kMiddle).value().slot, true, kMiddle);
+  schedule.on_answer(now, schedule.begin(0, kMiddle).value().slot, true, kMiddle);
   CallSchedule::Call watch;
   Micros begun = next_call(schedule, watch);
   EXPECT_LE(begun - now, kMilli);  // behind a list it goes on
   EXPECT_GE(watch.wait, 20 * kSecond);
   now = begun + 5 * kSecond;
-  schedule.answered(now, watch.slot, true, kMiddle);
+  schedule.on_answer(now, watch.slot, true, kMiddle);
   EXPECT_FALSE(schedule.begin(now + 100 * kMilli, kMiddle).has_value());  // whoever asks
   begun = next_call(schedule, watch);
   EXPECT_GT(begun - now, 200 * kMilli);
@@ -466,10 +466,10 @@
 
 TEST(CallSchedule, AFirstWatchBehindAChangeIsAskedAboutBeforeItsGapCounts) {
   CallSchedule schedule(20, false);
-  schedule.answered(10 * kMilli, schedule.begin(0, kMiddle).value().slot, true, kMiddle);
+  schedule.on_answer(10 * kMilli, schedule.begin(0, kMiddle).value().slot, true, kMiddle);
   CallSchedule::Call watch, check;
   Micros now = next_call(schedule, watch) + 5 * kSecond;
-  schedule.answered(now, watch.slot, true, kMiddle);
+  schedule.on_answer(now, watch.slot, true, kMiddle);
   Micros begun = next_call(schedule, watch);
   EXPECT_EQ(watch.wait, 2 * kSecond);
   EXPECT_LT(next_call(schedule, check) - now, 5 * kSecond);  // it is silent
--- a/tests/membership/discovery_world.hpp
+++ b/tests/membership/discovery_world.hpp
@@ -17,7 +17,7 @@
 
 namespace arrowfork::test {
 
-using judge::DrainJudge, judge::DrainRecord, judge::DrainRules, judge::DrainViolation;
+using judge::DrainJudge, judge::DrainRecord, judge::DrainJudgeOptions, judge::DrainViolation;
 using robinseam::Micros;
 
 constexpr Micros kMilli = 1000, kSecond = 1000 * kMilli;
@@ -90,8 +90,8 @@
     log(std::string("discovery ") + name_of(mode) + (delay ? " " + seconds(delay) : ""));
     bool could = reachable();
     mode_ = mode, delay_ = delay;
-    if (could && !reachable()) note_all({now_, DrainRecord::What::Unreachable});
-    if (!could && reachable()) note_all({now_, DrainRecord::What::Reachable});
+    if (could && !reachable()) note_all({now_, DrainRecord::Kind::DiscoveryUnreachable});
+    if (!could && reachable()) note_all({now_, DrainRecord::Kind::DiscoveryReachable});
     if (mode == Mode::Refuses || mode == Mode::Resets)
       for (auto& router : routers_) router->end_watches();
     // Watches end or hang, whether the agent's answers come after all or not.
@@ -106,13 +106,13 @@
   void drain(int server) {
     log("server " + std::to_string(server) + " drains");
     change(server, robinseam::Health::Draining);
-    note_change(server, DrainRecord::What::Leaves);
+    note_change(server, DrainRecord::Kind::ServerLeaves);
     news();
   }
   void remove(int server) {
     log("server " + std::to_string(server) + " is gone");
     change(server, robinseam::Health::Gone);
-    note_change(server, DrainRecord::What::Leaves);
+    note_change(server, DrainRecord::Kind::ServerLeaves);
     news();
   }
   /// Both in one delta, an entry each.
@@ -120,7 +120,7 @@
     log("server " + std::to_string(server) + " drains and is gone, in one delta");
     change(server, robinseam::Health::Draining);
     change(server, robinseam::Health::Gone);
-    note_change(server, DrainRecord::What::Leaves);
+    note_change(server, DrainRecord::Kind::ServerLeaves);
     news();
   }
   void remove_all() {
@@ -128,7 +128,7 @@
     for (auto& [server, listed] : hosts_)
       if (listed.health != robinseam::Health::Gone) {
         change(server, robinseam::Health::Gone);
-        note_change(server, DrainRecord::What::Leaves);
+        note_change(server, DrainRecord::Kind::ServerLeaves);
       }
     news();
   }
@@ -172,13 +172,13 @@
   Verdict judge() const {
     Verdict verdict;
     for (std::size_t r = 0; r < routers_.size(); ++r) {
-      DrainRules rules;
+      DrainJudgeOptions rules;
       rules.pushed = options_.pushed, rules.grace = options_.grace;
       DrainJudge checker(rules);
       auto found = checker.check(routers_[r]->records);
       if (!found.empty() && verdict.first.empty()) {
         verdict.first = describe(r, found.front());
-        verdict.sentence = text_of(found.front().sentence);
+        verdict.sentence = description_of(found.front().rule);
       }
       verdict.violations += found.size();
     }
@@ -238,7 +238,7 @@
       held.clear();
       out.clear();
       apply(known);
-      note({world.now_, DrainRecord::What::Started});
+      note({world.now_, DrainRecord::Kind::ProcessStarted});
       ListSubscription::Options options;
       options.routers = world.options_.routers;
       options.pushed = world.options_.pushed;
@@ -264,7 +264,7 @@
       if (!alive) return;
       HostList known;
       known.version = subscription->version();
-      known.whole = true;
+      known.full = true;
       for (const auto& [id, host] : held) known.hosts.push_back(host);
       alive = false;
       ++life;
@@ -276,14 +276,14 @@
       if (world.now_ >= held_until + kBetweenHolds) held_until = world.now_ + span;
     }
     void hang_up(const std::string& to) {
-      note({world.now_, DrainRecord::What::Hangup});
+      note({world.now_, DrainRecord::Kind::AddressChanged});
       later(0, [this, to] {
         // What is open at the old address ends in a while.
         std::vector<int> ids;
         for (const auto& [id, one] : out)
           if (one.call.address != to) ids.push_back(id);
-        for (int id : ids) later(kCloses, [this, id] { fail(id, Fault::Refused); });
-        subscription->move_to(to, world.now_);
+        for (int id : ids) later(kCloses, [this, id] { fail(id, CallFailure::Refused); });
+        subscription->change_address(to, world.now_);
         arm();
       });
     }
@@ -291,13 +291,13 @@
       std::vector<int> ids;
       for (const auto& [id, one] : out)
         if (one.watching && !one.muted) ids.push_back(id);
-      for (int id : ids) later(kNetwork, [this, id] { fail(id, Fault::Refused); });
+      for (int id : ids) later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
     }
     void break_off_watches() {
       std::vector<int> ids;
       for (const auto& [id, one] : out)
         if (one.watching && !one.muted) ids.push_back(id);
-      for (int id : ids) later(kNetwork, [this, id] { fail(id, Fault::Spoilt); });
+      for (int id : ids) later(kNetwork, [this, id] { fail(id, CallFailure::Malformed); });
     }
     void mute() {
       for (auto& [id, one] : out)
@@ -307,7 +307,7 @@
       one.muted = true;
       // What an agent gets at its return counts at once, whatever it was silent to.
       if (!world.options_.pushed || world.mode_ != Mode::Silent)
-        note({world.now_, DrainRecord::What::Muted, -1, one.until});
+        note({world.now_, DrainRecord::Kind::WatchSilent, -1, one.until});
     }
     void news() {
       std::vector<int> ids;
@@ -318,17 +318,17 @@
 
     // ---- ListTransport ----
 
-    using Fault = robinseam::membership::Fault;
+    using CallFailure = robinseam::membership::CallFailure;
     void start(const ListCall& call) override {
       ++world.calls_;
-      note({world.now_, DrainRecord::What::Called});
+      note({world.now_, DrainRecord::Kind::CallStarted});
       Out& one = out[call.id];
       one.call = call;
       std::size_t index = call.path.find("index="), wait = call.path.find("wait=");
       if (index != std::string::npos) one.index = std::stoull(call.path.substr(index + 6));
       Micros span = wait == std::string::npos ? 0 : std::stoll(call.path.substr(wait + 5)) * kMilli;
       one.until = world.now_ + kNetwork + span;
-      later(call.limit, [this, id = call.id] { fail(id, Fault::TimedOut); });
+      later(call.timeout, [this, id = call.id] { fail(id, CallFailure::TimedOut); });
       later_outside(kNetwork, call.id, [this, id = call.id] { arrives(id); });
     }
     void cancel(int id, CancelReason) override { out.erase(id); }
@@ -345,15 +345,15 @@
       Out& one = out.at(id);
       if (one.call.address != address() || world.mode_ == Mode::Refuses ||
           world.mode_ == Mode::Resets)
-        return later(kNetwork, [this, id] { fail(id, Fault::Refused); });
+        return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
       switch (world.mode_) {
         case Mode::Silent:
           return fall_silent(one);
         case Mode::Halves:
-          return later(kNetwork, [this, id] { fail(id, Fault::Spoilt); });
+          return later(kNetwork, [this, id] { fail(id, CallFailure::Malformed); });
         case Mode::Crowded:
           if (world.crowd_++ % 2 == 0)
-            return later(kQueueTime, [this, id] { fail(id, Fault::Refused); });
+            return later(kQueueTime, [this, id] { fail(id, CallFailure::Refused); });
           return later_outside(world.between(0, kQueueTime - 200 * kMilli), id,
                                [this, id] { works(id); });
         case Mode::Line:
@@ -367,12 +367,12 @@
     void waits_in_line(int id) {
       if (world.line_.one_each) leave_line();
       if (world.waiting_.size() >= world.line_.places)
-        return later(kNetwork, [this, id] { fail(id, Fault::Refused); });
+        return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
       world.waiting_.push_back({this, life, id});
       later_outside(world.line_.most_wait, id, [this, id] {
         if (auto place = place_of(id)) {
           place->refused = true;
-          later(kNetwork, [this, id] { fail(id, Fault::Refused); });
+          later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
         }
       });
       if (!world.working_) world.work_on_line();
@@ -387,13 +387,14 @@
       for (World::Place& place : world.waiting_) {
         if (place.router != this || place.life != life || place.refused) continue;
         place.refused = true;
-        later(kNetwork, [this, id = place.id] { fail(id, Fault::Refused); });
+        later(kNetwork, [this, id = place.id] { fail(id, CallFailure::Refused); });
       }
     }
     void works(int id) {
       Out& one = out.at(id);
       if (world.mode_ == Mode::Silent) return fall_silent(one);
-      if (!world.reachable()) return later(kNetwork, [this, id] { fail(id, Fault::Refused); });
+      if (!world.reachable())
+        return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
       bool waits = one.index != 0 && one.index == world.told_version() &&
                    one.until > world.now_ + 2 * kMilli;
       if (!waits) return write(id);
@@ -408,22 +409,22 @@
       one.watching = false, one.muted = true;
       ListResult result;
       result.list = world.answer(one.index);
-      note({world.now_, DrainRecord::What::Written});
+      note({world.now_, DrainRecord::Kind::AnswerWritten});
       later(kNetwork, [this, id, result] {
         if (!out.erase(id)) return;
-        subscription->ended(id, result, world.now_);
+        subscription->on_call_ended(id, result, world.now_);
         arm();
       });
     }
-    void fail(int id, Fault fault) {
+    void fail(int id, CallFailure fault) {
       auto at = out.find(id);
       if (at == out.end()) return;
       // The end of what was open at an address that was left is no failure.
-      if (at->second.call.address == address()) note({world.now_, DrainRecord::What::CallFailed});
+      if (at->second.call.address == address()) note({world.now_, DrainRecord::Kind::CallFailed});
       out.erase(at);
       ListResult result;
-      result.fault = fault;
-      subscription->ended(id, result, world.now_);
+      result.failure = fault;
+      subscription->on_call_ended(id, result, world.now_);
       arm();
     }
 
@@ -452,7 +453,7 @@
     void send() {
       for (const auto& [id, host] : held)
         if (host.server.health == robinseam::Health::Ready)
-          note({world.now_, DrainRecord::What::Sent, std::stoi(id)});
+          note({world.now_, DrainRecord::Kind::RequestSent, std::stoi(id)});
       later(kSendEvery, [this] { send(); });
     }
 
@@ -461,14 +462,14 @@
     void on_hosts(HostList&& list) override { apply(list); }
     void on_call_failed() override {}
     void on_hosts_failed() override {}
-    void on_refused(const std::string&) override {}
-    void on_drains(const HostList& list, bool unnamed_have_left) override {
-      apply(drains_in(list, unnamed_have_left, held));
+    void on_list_rejected(const std::string&) override {}
+    void on_drains(const HostList& list, bool drain_unlisted) override {
+      apply(extract_drains(list, drain_unlisted, held));
     }
 
     /// As the router applies a list: a whole one replaces what is held.
     void apply(const HostList& list) {
-      if (list.whole) held.clear();
+      if (list.full) held.clear();
       for (const Host& host : list.hosts) {
         if (host.server.health == robinseam::Health::Gone)
           held.erase(host.server.id);
@@ -538,7 +539,7 @@
   HostList whole() const {
     HostList list;
     list.version = std::to_string(version_);
-    list.whole = true;
+    list.full = true;
     for (const auto& [server, listed] : hosts_)
       if (listed.health != robinseam::Health::Gone)
         list.hosts.push_back(host(server, listed.health));
@@ -555,7 +556,7 @@
   void note_all(const DrainRecord& record) {
     for (auto& router : routers_) router->note(record);
   }
-  void note_change(int server, DrainRecord::What what) { note_all({now_, what, server}); }
+  void note_change(int server, DrainRecord::Kind what) { note_all({now_, what, server}); }
   void log(const std::string& what) { log_.push_back({now_, what}); }
   static std::string seconds(Micros t) {
     std::ostringstream text;
@@ -565,16 +566,17 @@
   std::string describe(std::size_t r, const DrainViolation& v) const {
     std::ostringstream text;
     text << "router " << r << " sends to server " << v.server << " at " << seconds(v.sent)
-         << "; it left at " << seconds(v.left) << ", told at " << seconds(v.told) << ": "
-         << text_of(v.sentence) << "\n";
+         << "; it left at " << seconds(v.left) << ", told at " << seconds(v.notified) << ": "
+         << description_of(v.rule) << "\n";
     std::vector<std::pair<Micros, std::string>> lines(log_.begin(), log_.end());
     static const char* const names[] = {"leaves",    "returns", "answer written", "unreachable",
                                         "reachable", "muted",   "calls",          "call failed",
                                         "SIGHUP",    "started", "sends"};
     for (const DrainRecord& record : routers_[r]->records)
-      if (record.what != DrainRecord::What::Sent && record.what != DrainRecord::What::Leaves)
+      if (record.kind != DrainRecord::Kind::RequestSent &&
+          record.kind != DrainRecord::Kind::ServerLeaves)
         lines.emplace_back(record.at,
-                           std::string("  router: ") + names[static_cast<int>(record.what)]);
+                           std::string("  router: ") + names[static_cast<int>(record.kind)]);
     std::stable_sort(lines.begin(), lines.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     for (const auto& [t, what] : lines)
--- a/tests/membership/list_subscription_test.cpp
+++ b/tests/membership/list_subscription_test.cpp
@@ -10,7 +10,7 @@
 
 using robinseam::Health;
 using robinseam::Micros;
-using robinseam::membership::Fault;
+using robinseam::membership::CallFailure;
 constexpr Micros kMilli = 1000, kSecond = 1000 * kMilli;
 
 Host host(const std::string& id, Health health = Health::Ready) {
@@ -22,7 +22,7 @@
 
 HostList list(const std::string& version, bool whole, std::vector<Host> hosts) {
   HostList one;
-  one.version = version, one.whole = whole, one.hosts = std::move(hosts);
+  one.version = version, one.full = whole, one.hosts = std::move(hosts);
   return one;
 }
 
@@ -37,7 +37,7 @@
   static HostList held_first() { return list("10", true, {host("a"), host("b")}); }
 
   void start(const ListCall& call) override { out.push_back(call); }
-  void cancel(int id, CancelReason = CancelReason::Settled) override {
+  void cancel(int id, CancelReason = CancelReason::Superseded) override {
     std::erase_if(out, [id](const ListCall& call) { return call.id == id; });
   }
   void on_hosts(HostList&& told) override {
@@ -46,12 +46,12 @@
   }
   void on_call_failed() override {}
   void on_hosts_failed() override {}
-  void on_refused(const std::string& reason) override { refused.push_back(reason); }
-  void on_drains(const HostList& told, bool unnamed_have_left) override {
-    apply(drains_in(told, unnamed_have_left, held));
+  void on_list_rejected(const std::string& reason) override { refused.push_back(reason); }
+  void on_drains(const HostList& told, bool drain_unlisted) override {
+    apply(extract_drains(told, drain_unlisted, held));
   }
   void apply(const HostList& told) {
-    if (told.whole) held.clear();
+    if (told.full) held.clear();
     for (const Host& one : told.hosts)
       if (one.server.health == Health::Gone)
         held.erase(one.server.id);
@@ -67,12 +67,12 @@
   void answer(const ListCall& call, HostList told) {
     int id = call.id;
     cancel(id);
-    subscription.ended(id, {std::move(told), Fault::Refused}, now);
+    subscription.on_call_ended(id, {std::move(told), CallFailure::Refused}, now);
   }
-  void fail(const ListCall& call, Fault fault = Fault::Refused) {
+  void fail(const ListCall& call, CallFailure fault = CallFailure::Refused) {
     int id = call.id;
     cancel(id);
-    subscription.ended(id, {std::nullopt, fault}, now);
+    subscription.on_call_ended(id, {std::nullopt, fault}, now);
   }
   /// Lets time pass; true where a call was made meanwhile.
   bool pass(Micros span) {
@@ -121,13 +121,13 @@
 TEST(ListSubscription, AnEntryThatCantBeUsedHidesNoDrainAndIsLeftOutTheSecondTime) {
   Fixture f;
   HostList change = list("11", false, {host("a", Health::Draining)});
-  change.fault = "hosts: health 'asleep'";
+  change.entry_error = "hosts: health 'asleep'";
   f.answer(f.last(), change);
   EXPECT_FALSE(f.ready("a"));
   EXPECT_EQ(f.taken, 0);
   EXPECT_EQ(f.refused, std::vector<std::string>{"hosts: health 'asleep'"});
   HostList whole = list("11", true, {host("a", Health::Draining), host("c")});
-  whole.fault = change.fault;
+  whole.entry_error = change.entry_error;
   ASSERT_TRUE(f.pass(300 * kMilli));
   EXPECT_EQ(f.last().path, "/discovery/hosts");
   f.answer(f.last(), whole);
@@ -192,7 +192,7 @@
   f.answer(f.last(), list("11", false, {}));
   f.now = kSecond;
   for (int k = 0; k < 4; ++k) {
-    f.subscription.move_to("next:" + std::to_string(k), f.now);
+    f.subscription.change_address("next:" + std::to_string(k), f.now);
     f.pass(1500 * kMilli);
   }
   // 6 s after the first nothing has been answered: past 4 s the list may be too old.
@@ -207,7 +207,7 @@
   f.pass(18 * kSecond);                       // its silence may have been noticed
   f.pass(12 * kSecond);
   ASSERT_TRUE(f.subscription.overdue(f.now));
-  f.subscription.move_to("next:1", f.now);
+  f.subscription.change_address("next:1", f.now);
   EXPECT_TRUE(f.subscription.overdue(f.now));
 }
 
@@ -215,10 +215,10 @@
   Fixture f;
   f.answer(f.last(), list("11", false, {}));
   f.now = kSecond;
-  f.subscription.move_to("two:1", f.now);
+  f.subscription.change_address("two:1", f.now);
   ListCall at_two = f.last();
   f.pass(300 * kMilli);
-  f.subscription.move_to("three:1", f.now);
+  f.subscription.change_address("three:1", f.now);
   ASSERT_TRUE(std::any_of(f.out.begin(), f.out.end(),
                           [&](const ListCall& call) { return call.id == at_two.id; }));
   f.answer(at_two, list("1", true, {host("a", Health::Draining), host("b")}));
@@ -234,7 +234,7 @@
   f.answer(f.last(), list("11", false, {}));
   for (int k = 0; k < 100; ++k) {
     f.pass(30 * kMilli);
-    f.subscription.move_to("next:" + std::to_string(k), f.now);
+    f.subscription.change_address("next:" + std::to_string(k), f.now);
     EXPECT_LE(f.out.size(), 3u + 4u + 8u);
   }
   EXPECT_GE(f.out.size(), 9u);  // the last ones are heard out
@@ -245,7 +245,7 @@
   f.answer(f.last(), list("11", false, {}));
   f.pass(kSecond);
   ListCall watch = f.last();
-  f.subscription.move_to("two:1", f.now);
+  f.subscription.change_address("two:1", f.now);
   f.answer(f.last(), list("1", true, {host("a"), host("b")}));
   f.pass(10 * kMilli);
   f.answer(watch, list("12", false, {host("a", Health::Draining)}));
@@ -284,7 +284,7 @@
   f.answer(f.last(), list("11", false, {}));
   f.pass(kSecond);
   ListCall watch = f.last();
-  f.subscription.move_to("two:1", f.now);
+  f.subscription.change_address("two:1", f.now);
   f.answer(f.last(), list("1", true, {host("a"), host("b")}));
   f.pass(10 * kMilli);
   f.answer(watch, list("12", false, {host("a", Health::Draining), host("a")}));
@@ -300,7 +300,7 @@
   ListCall watch = f.last();
   while (f.out.size() < 2) f.pass(100 * kMilli);
   f.answer(f.last(), list("11", false, {}));  // the watch lingers
-  f.subscription.move_to("two:1", f.now);
+  f.subscription.change_address("two:1", f.now);
   f.answer(watch, list("12", false, {host("a", Health::Draining)}));
   EXPECT_FALSE(f.ready("a"));
   EXPECT_EQ(f.subscription.version(), "");
--- a/tests/membership/list_guard_test.cpp
+++ b/tests/membership/list_validator_test.cpp
@@ -1,4 +1,4 @@
-#include "membership/list_guard.hpp"
+#include "membership/list_validator.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 
 HostList list(const std::string& version, bool whole, const std::string& ids) {
   HostList l;
-  l.version = version, l.whole = whole;
+  l.version = version, l.full = whole;
   for (char id : ids) {  // an upper-case letter has left
     Host h;
     h.server.id = std::string(1, static_cast<char>(std::tolower(id)));
@@ -19,7 +19,7 @@
   return l;
 }
 
-TEST(ListGuard, TakesWhatMayChangeTheList) {
+TEST(ListValidator, TakesWhatMayChangeTheList) {
   struct Answer {
     HostList list;
     bool taken;
@@ -76,23 +76,23 @@
                           {list("0", true, "a"), false},
                           {list("10", true, "a"), true}}}};
   for (const Case& c : cases) {
-    ListGuard guard;
+    ListValidator guard;
     std::string held;
     for (std::size_t k = 0; k < c.answers.size(); ++k) {
       const Answer& a = c.answers[k];
-      EXPECT_EQ(guard.refuse(a.list).empty(), a.taken) << c.what << ", answer " << k;
+      EXPECT_EQ(guard.validate(a.list).empty(), a.taken) << c.what << ", answer " << k;
       if (a.taken) held = a.list.version;
       EXPECT_EQ(guard.version(), held) << c.what << ", answer " << k;
     }
   }
 }
 
-TEST(ListGuard, AnotherDiscoveryCountsAsItLikes) {
-  ListGuard guard;
-  guard.hold(list("900", true, "a"));
-  guard.forget_version();
-  EXPECT_EQ(guard.refuse(list("2", true, "b")), "");
-  EXPECT_EQ(guard.refuse(list("1", true, "b")), "version 1 after 2");
+TEST(ListValidator, AnotherDiscoveryCountsAsItLikes) {
+  ListValidator guard;
+  guard.set_current(list("900", true, "a"));
+  guard.reset_version();
+  EXPECT_EQ(guard.validate(list("2", true, "b")), "");
+  EXPECT_EQ(guard.validate(list("1", true, "b")), "version 1 after 2");
 }
 
 }  // namespace
--- a/tests/operations/machines_test.cpp
+++ b/tests/operations/machines_test.cpp
@@ -5,7 +5,7 @@
 
 #include "control/calls.hpp"
 #include "folder.hpp"
-#include "membership/ban_file.hpp"
+#include "membership/disabled_servers_file.hpp"
 
 namespace arrowfork::test {
 namespace {
@@ -24,97 +24,101 @@
 
 HostList list(std::vector<Host> hosts, bool whole = true) { return {"1", whole, std::move(hosts)}; }
 
-TEST(HandList, AServerOutByHandLeavesWhateverTheListSaysUntilItIsPutBack) {
-  HandList hand;
-  hand.take(list({host("a"), host("b")}));
-  HostList part = hand.set_bans({{"a", 100}}, 100);
+TEST(OperatorOverrides, AServerOutByHandLeavesWhateverTheListSaysUntilItIsPutBack) {
+  OperatorOverrides hand;
+  hand.apply_list(list({host("a"), host("b")}));
+  HostList part = hand.set_disabled({{"a", 100}}, 100);
   ASSERT_EQ(part.hosts.size(), 1u);
-  EXPECT_FALSE(part.whole);
+  EXPECT_FALSE(part.full);
   EXPECT_EQ(part.hosts[0].server.health, Health::Draining);
-  EXPECT_EQ(hand.take(list({host("a", 150), host("b")})).hosts[0].server.health, Health::Draining);
-  hand.take(list({host("b")}));  // gone from the list, and back on it
-  EXPECT_EQ(hand.take(list({host("a", 160)}, false)).hosts[0].server.health, Health::Draining);
-  EXPECT_TRUE(hand.set_bans({{"a", 100}}, 200).hosts.empty());  // said twice
-  EXPECT_EQ(hand.set_bans({}, 300).hosts[0].server.health, Health::Ready);
+  EXPECT_EQ(hand.apply_list(list({host("a", 150), host("b")})).hosts[0].server.health,
+            Health::Draining);
+  hand.apply_list(list({host("b")}));  // gone from the list, and back on it
+  EXPECT_EQ(hand.apply_list(list({host("a", 160)}, false)).hosts[0].server.health,
+            Health::Draining);
+  EXPECT_TRUE(hand.set_disabled({{"a", 100}}, 200).hosts.empty());  // said twice
+  EXPECT_EQ(hand.set_disabled({}, 300).hosts[0].server.health, Health::Ready);
 }
 
-TEST(HandList, WhoComesBackIsColdUnlessTheListTellsOfAStartSinceTheBan) {
+TEST(OperatorOverrides, WhoComesBackIsColdUnlessTheListTellsOfAStartSinceTheBan) {
   for (auto [listed, told] : {std::pair<Micros, Micros>{0, 300}, {50, 300}, {250, 250}}) {
-    HandList hand;
-    hand.take(list({host("a", listed)}));
-    hand.set_bans({{"a", 100}}, 100);
-    EXPECT_EQ(hand.set_bans({}, 300).hosts[0].server.up_since, told) << listed;
-    EXPECT_EQ(hand.take(list({host("a", listed)})).hosts[0].server.up_since, told) << listed;
-    EXPECT_EQ(hand.take(list({host("a", 280)})).hosts[0].server.up_since, 280) << listed;
+    OperatorOverrides hand;
+    hand.apply_list(list({host("a", listed)}));
+    hand.set_disabled({{"a", 100}}, 100);
+    EXPECT_EQ(hand.set_disabled({}, 300).hosts[0].server.up_since, told) << listed;
+    EXPECT_EQ(hand.apply_list(list({host("a", listed)})).hosts[0].server.up_since, told) << listed;
+    EXPECT_EQ(hand.apply_list(list({host("a", 280)})).hosts[0].server.up_since, 280) << listed;
   }
 }
 
-TEST(HandList, IdsThatWereListedOnceAreKnownInABoundedNumber) {
-  HandList hand;
-  EXPECT_FALSE(hand.known("a"));
-  hand.take(list({host("a")}));
-  hand.take(list({host("a", 0, Health::Gone)}, false));
-  EXPECT_TRUE(hand.known("a"));
-  EXPECT_TRUE(hand.listed().empty());
-  for (std::size_t k = 0; k < HandList::kMostGone; ++k) {
+TEST(OperatorOverrides, IdsThatWereListedOnceAreKnownInABoundedNumber) {
+  OperatorOverrides hand;
+  EXPECT_FALSE(hand.is_known("a"));
+  hand.apply_list(list({host("a")}));
+  hand.apply_list(list({host("a", 0, Health::Gone)}, false));
+  EXPECT_TRUE(hand.is_known("a"));
+  EXPECT_TRUE(hand.effective_hosts().empty());
+  for (std::size_t k = 0; k < OperatorOverrides::kMaxGoneIds; ++k) {
     std::string id = "s" + std::to_string(k);
-    hand.take(list({host(id)}));
+    hand.apply_list(list({host(id)}));
   }
-  hand.take(list({}));
-  EXPECT_FALSE(hand.known("a"));
-  EXPECT_TRUE(hand.known("s" + std::to_string(HandList::kMostGone - 1)));
+  hand.apply_list(list({}));
+  EXPECT_FALSE(hand.is_known("a"));
+  EXPECT_TRUE(hand.is_known("s" + std::to_string(OperatorOverrides::kMaxGoneIds - 1)));
 }
 
-TEST(BanFile, BothProcessesSeeAndKeepWhatEitherIsTold) {
+TEST(DisabledServersFile, BothProcessesSeeAndKeepWhatEitherIsTold) {
   Folder folder;
   std::string path = folder.path() + "/bans", error;
-  BanFile old_one(path), new_one(path);
-  ASSERT_TRUE(old_one.change("a", true, 10, error)) << error;
-  auto seen = new_one.look(error);
+  DisabledServersFile old_one(path), new_one(path);
+  ASSERT_TRUE(old_one.set_disabled("a", true, 10, error)) << error;
+  auto seen = new_one.read_if_changed(error);
   ASSERT_TRUE(seen);
-  EXPECT_EQ(*seen, (Bans{{"a", 10}}));
-  EXPECT_FALSE(new_one.look(error));  // nothing new
-  ASSERT_TRUE(new_one.change("b", true, 20, error));
-  EXPECT_EQ(*old_one.change("c", true, 30, error), (Bans{{"a", 10}, {"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*new_one.change("a", true, 40, error), (Bans{{"a", 10}, {"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*new_one.change("a", false, 50, error), (Bans{{"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*old_one.look(error), (Bans{{"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*seen, (DisabledServers{{"a", 10}}));
+  EXPECT_FALSE(new_one.read_if_changed(error));  // nothing new
+  ASSERT_TRUE(new_one.set_disabled("b", true, 20, error));
+  EXPECT_EQ(*old_one.set_disabled("c", true, 30, error),
+            (DisabledServers{{"a", 10}, {"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*new_one.set_disabled("a", true, 40, error),
+            (DisabledServers{{"a", 10}, {"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*new_one.set_disabled("a", false, 50, error), (DisabledServers{{"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*old_one.read_if_changed(error), (DisabledServers{{"b", 20}, {"c", 30}}));
 }
 
 // Protects against: a cleaned folder, or a moment without descriptors, putting servers back.
-TEST(BanFile, AFileThatIsGoneOrCannotBeOpenedPutsNobodyBack) {
+TEST(DisabledServersFile, AFileThatIsGoneOrCannotBeOpenedPutsNobodyBack) {
   Folder folder;
   std::string path = folder.path() + "/bans", error;
-  BanFile file(path);
-  ASSERT_TRUE(file.change("a", true, 10, error));
+  DisabledServersFile file(path);
+  ASSERT_TRUE(file.set_disabled("a", true, 10, error));
   std::filesystem::remove(path);
-  auto seen = file.look(error);
-  EXPECT_TRUE(!seen || *seen == (Bans{{"a", 10}}));
-  EXPECT_EQ(*file.change("b", true, 20, error), (Bans{{"a", 10}, {"b", 20}}));
+  auto seen = file.read_if_changed(error);
+  EXPECT_TRUE(!seen || *seen == (DisabledServers{{"a", 10}}));
+  EXPECT_EQ(*file.set_disabled("b", true, 20, error), (DisabledServers{{"a", 10}, {"b", 20}}));
   std::filesystem::remove(path);
   std::filesystem::create_symlink(path, path);  // opens for nobody
-  EXPECT_FALSE(file.look(error));
-  EXPECT_FALSE(file.change("a", false, 30, error));
+  EXPECT_FALSE(file.read_if_changed(error));
+  EXPECT_FALSE(file.set_disabled("a", false, 30, error));
   EXPECT_NE(error, "");
   std::filesystem::remove(path);
-  EXPECT_EQ(*file.change("b", false, 40, error), (Bans{{"a", 10}}));
+  EXPECT_EQ(*file.set_disabled("b", false, 40, error), (DisabledServers{{"a", 10}}));
 }
 
-TEST(BanFile, WhatIsNoSuchFileChangesNothingAndIsNotOverwritten) {
+TEST(DisabledServersFile, WhatIsNoSuchFileChangesNothingAndIsNotOverwritten) {
   for (const char* text :
        {"", "{", "[]", R"({"v":2,"out":{}})", R"({"v":1})", R"({"v":1,"out":3})"}) {
     Folder folder;
     std::string path = folder.path() + "/bans", error;
     std::ofstream(path) << text;
-    BanFile file(path);
-    EXPECT_FALSE(file.look(error)) << text;
+    DisabledServersFile file(path);
+    EXPECT_FALSE(file.read_if_changed(error)) << text;
     EXPECT_NE(error, "") << text;
-    EXPECT_FALSE(file.change("a", true, 1, error)) << text;
+    EXPECT_FALSE(file.set_disabled("a", true, 1, error)) << text;
   }
   std::string error;
-  EXPECT_FALSE(BanFile("/no/such/folder/bans").change("a", true, 1, error));
+  EXPECT_FALSE(DisabledServersFile("/no/such/folder/bans").set_disabled("a", true, 1, error));
   EXPECT_NE(error, "");
-  EXPECT_TRUE(BanFile("").change("a", true, 1, error));  // this process's alone
+  EXPECT_TRUE(DisabledServersFile("").set_disabled("a", true, 1, error));  // this process's alone
 }
 
 TEST(ControlCalls, AreReadFromTheirHeads) {
