--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -14,34 +14,36 @@
 
 using robinseam::ListScope;
 
-constexpr std::size_t kMostPerServer = 16;
+constexpr std::size_t kMaxConnectionsPerServer = 16;
 // Descriptors for the listener, the event base, discovery and the log.
 constexpr std::size_t kReservedSockets = 24;
-constexpr std::size_t kSpareClients = 50;
-// Memory that an open request may come to: its line three times over and what the module keeps.
-constexpr std::size_t kOpenBytes = 16u << 10;
-// One id a span for so much memory: two spans of them, some 100 bytes each, come to a fifth of it.
-constexpr std::size_t kIdBytes = 1024;
-// After SIGTERM the front still sends new connections for up to 0.4 s, and what comes later than
-// 0.7 s is ours to lose no more: in between the router stops listening.
-constexpr Micros kStopListening = kSecond / 2;
-constexpr Micros kStopStep = 20 * kMillisecond;
+constexpr std::size_t kSpareClientConnections = 50;
+// Memory of an open request at most: three times its line and the state of the module.
+constexpr std::size_t kOpenRequestBytes = 16u << 10;
+// Memory per remembered request id of one time span: ids of two spans, about 100 bytes each, use a
+// fifth of the memory.
+constexpr std::size_t kMemoryPerIdBytes = 1024;
+// After SIGTERM the load balancer still sends new connections for up to 0.4 s, and the router need
+// not serve those that come after 0.7 s: it stops listening in between.
+constexpr Micros kStopListeningDelay = kSecond / 2;
+constexpr Micros kStopCheckInterval = 20 * kMillisecond;
 constexpr Micros kStopSlack = 650 * kMillisecond;
 
-// DisabledServers are looked at and descriptors told this often: a ban told to the other process of
-// an upgrade binds here as soon, which leaves most of the grace.
-constexpr Micros kTick = 50 * kMillisecond;
-// The process is seen to have stood still where a pulse comes this late.
-constexpr Micros kPulse = kSecond / 2;
-constexpr Micros kStoodStill = 2 * kSecond;
-// A list counts as of now until a watch that waits its longest should have been answered for.
-constexpr Micros kFresh = robinseam::membership::CallSchedule::kMaxWait + 2 * kSecond;
-// A server that is live over less than this part of its slots is avoided.
-constexpr double kAvoided = 0.05;
-// What one process of an upgrade is left with at least.
-constexpr std::size_t kLeastSockets = 96;
-
-/// A file of this router's in `state_dir`; empty where it has none.
+// The file of disabled servers is read, and the number of descriptors reported, this often: a
+// server disabled through the other process of an upgrade is disabled here within this time, which
+// leaves most of the drain grace.
+constexpr Micros kControlTick = 50 * kMillisecond;
+// A heartbeat that comes late by kMinPause shows that the process was paused.
+constexpr Micros kHeartbeatInterval = kSecond / 2;
+constexpr Micros kMinPause = 2 * kSecond;
+// A list counts as up to date until the longest possible watch should have been answered.
+constexpr Micros kListFreshTime = robinseam::membership::CallSchedule::kMaxWait + 2 * kSecond;
+// A server with a smaller share of live slots counts as down in the metrics.
+constexpr double kMinLiveShare = 0.05;
+// The minimum that one process of an upgrade gets.
+constexpr std::size_t kMinSockets = 96;
+
+/// Path of one of this router's files in `state_dir`; empty if there is no such folder.
 std::string state_path(const Config& c, const char* suffix) {
   if (c.state_dir.empty()) return {};
   std::string name;
@@ -53,7 +55,7 @@
 
 ClientSide::Limits client_limits(const Config& c) {
   ClientSide::Limits l;
-  l.spare_connections = std::min(kSpareClients, c.sockets / 16);
+  l.spare_connections = std::min(kSpareClientConnections, c.sockets / 16);
   std::size_t others = kReservedSockets + server_sockets(c) + l.spare_connections;
   if (c.ext_proc) others += c.ext_proc->connections + 1;
   if (!c.control.empty()) others += ControlServer::kMaxConnections + 1;
@@ -69,7 +71,7 @@
   l.max_connections_per_server =
       std::clamp<std::size_t>(static_cast<std::size_t>(robinseam::limits::kServerHolds) /
                                   static_cast<std::size_t>(c.settings.routers),
-                              1, kMostPerServer);
+                              1, kMaxConnectionsPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
   l.attempts_per_connection = c.links.streams;
@@ -81,13 +83,13 @@
 }
 
 std::size_t max_open(const Config& c) {
-  return std::min<std::size_t>(c.memory_bytes / kOpenBytes,
+  return std::min<std::size_t>(c.memory_bytes / kOpenRequestBytes,
                                static_cast<std::size_t>(c.links.max_open));
 }
 
-/// The module checks the settings when it is made.
+/// Turns the exception of the module's check of the settings into a ConfigError.
 Core make_core(const Config& c, const TimeSource& clock, Lister& lister) try {
-  return Core(c.settings, c.seed, clock, lister, max_open(c), c.memory_bytes / kIdBytes);
+  return Core(c.settings, c.seed, clock, lister, max_open(c), c.memory_bytes / kMemoryPerIdBytes);
 } catch (const std::invalid_argument& e) {
   throw ConfigError(std::string("settings: ") + e.what());
 }
@@ -114,14 +116,14 @@
     : base_(base),
       config_(config),
       clock_(clock),
-      born_(clock.now()),
+      started_at_(clock.now()),
       core_(make_core(config, clock, *this)),
       servers_(base, clock_, *this, server_limits(config), &config_.settings.report_fields),
       clients_(base, clock_, core_, servers_, client_limits(config)),
       discovery_(base, clock_, config.discovery, config.known, subscription_options(config), *this),
       ban_file_(state_path(config, ".bans")),
-      recovery_(config.settings.routers, clock.now(), kFresh),
-      pulse_at_(clock.now()) {
+      recovery_(config.settings.routers, clock.now(), kListFreshTime),
+      last_heartbeat_at_(clock.now()) {
   timer_event_.reset(event_new(base, -1, 0, on_timer, this));
   stop_event_.reset(event_new(base, -1, 0, on_stop_step, this));
   log_event_.reset(event_new(base, -1, EV_PERSIST, on_log, this));
@@ -133,23 +135,24 @@
   if (!config_.control.empty()) {
     control_.reset(new ControlServer(base_, clock_, *this));
     tick_event_.reset(event_new(base, -1, EV_PERSIST, on_tick, this));
-    timeval tick = timeval_of(kTick);
+    timeval tick = timeval_of(kControlTick);
     event_add(tick_event_.get(), &tick);
-    // The running process has the newer list.
+    // The list of the running process is newer than the configured one.
     handover_.reset(new Handover(base_, state_path(config_, ".sock"), *this));
-    Handover::Inherited taken = handover_->request_listener();
-    if (taken.listener) {
+    Handover::Inherited inherited = handover_->request_listener();
+    if (inherited.listener) {
       taking_over_ = true;
-      clients_.listen_on(std::move(taken.listener));
+      clients_.listen_on(std::move(inherited.listener));
       clients_.suspend_accepting(true);
       try {
-        if (!taken.list.empty()) config_.known = parse_host_list(taken.list);
+        if (!inherited.list.empty()) config_.known = parse_host_list(inherited.list);
       } catch (const ConfigError& e) {
         std::fprintf(stderr, "arrowfork: handover: list: %s\n", e.what());
       }
     }
     std::string error;
-    if (auto bans = ban_file_.read_if_changed(error)) hand_.set_disabled(*bans, clock_.now());
+    if (auto disabled = ban_file_.read_if_changed(error))
+      hand_.set_disabled(*disabled, clock_.now());
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
   HostList known = hand_.apply_list(config_.known);
@@ -157,9 +160,9 @@
   core_.start(servers_of(known), config_.known_is_doubted);
   recovery_.handed(clock_.now(), has_ready_server());
   log_settings();
-  pulse_event_.reset(event_new(base, -1, EV_PERSIST, on_pulse, this));
-  timeval pulse = timeval_of(kPulse);
-  event_add(pulse_event_.get(), &pulse);
+  heartbeat_event_.reset(event_new(base, -1, EV_PERSIST, on_heartbeat, this));
+  timeval heartbeat = timeval_of(kHeartbeatInterval);
+  event_add(heartbeat_event_.get(), &heartbeat);
 }
 
 bool Router::listen(std::string& error) {
@@ -187,13 +190,13 @@
   while (!done_) {
     do {
       core_.turn();
-      // Requests go on before answers go back: they have the longer way.
+      // Requests are sent before answers, since they have the longer way to go.
       servers_.flush();
       clients_.flush();
-      for (Frontend* front : fronts_) front->flush();
+      for (Frontend* frontend : frontends_) frontend->flush();
     } while (core_.pending() || servers_.dirty() || clients_.dirty());
-    note_recovery();
-    arm();
+    update_recovery();
+    arm_timer();
     event_base_loop(base_, EVLOOP_ONCE);
   }
 }
@@ -206,16 +209,16 @@
   for (const auto& [what, type] : types)
     if (!type.empty() && !core_.class_of(type))
       throw ConfigError(std::string("binary.") + what + "_class: '" + type +
-                        "' is no class of the settings in force");
+                        "' is not a class of the active settings");
   if (next.settings != config_.settings || next.links != config_.links ||
       next.listen != config_.listen || next.ext_proc != config_.ext_proc ||
       next.store != config_.store)
     std::fprintf(stderr,
-                 "arrowfork: reload: settings, listen, ext_proc and store are taken at the next "
-                 "start\n");
+                 "arrowfork: reload: changes of settings, listen, ext_proc and store take effect "
+                 "at the next start\n");
   config_.sockets = next.sockets;
   config_.memory_bytes = next.memory_bytes;
-  share_out();
+  apply_limits();
   config_.binary = next.binary;
   clients_.set_binary(config_.binary);
   servers_.set_protocols(config_.binary);
@@ -230,9 +233,10 @@
 void Router::stop() {
   if (stopping_since_) return;
   stopping_since_ = clock_.now();
-  // A successor listens on the same socket: nobody is kept waiting, and connections go over to it.
-  bool handing = handover_ && handover_->has_successor();
-  if (handing)
+  // A successor listens on the same socket, so listening stops at once, and connections are handed
+  // over to it.
+  bool has_successor = handover_ && handover_->has_successor();
+  if (has_successor)
     clients_.set_hand_over([this](int client) {
       switch (handover_->hand_over_client(client)) {
         case Handover::HandOverResult::Sent:
@@ -243,7 +247,7 @@
           return ClientSide::HandOverResult::NotSent;
       }
     });
-  timeval wait = timeval_of(handing ? 0 : kStopListening);
+  timeval wait = timeval_of(has_successor ? 0 : kStopListeningDelay);
   event_add(stop_event_.get(), &wait);
 }
 
@@ -251,9 +255,9 @@
   auto* r = static_cast<Router*>(self);
   r->clients_.drain();
   bool drained = true;
-  for (Frontend* front : r->fronts_) {
-    front->drain();
-    drained &= front->drained();
+  for (Frontend* frontend : r->frontends_) {
+    frontend->drain();
+    drained &= frontend->drained();
   }
   Micros waited = r->clock_.now() - r->stopping_since_;
   if ((r->core_.open_requests() == 0 && r->clients_.connections() == 0 && drained) ||
@@ -262,15 +266,15 @@
     r->done_ = true;
     return;
   }
-  timeval wait = timeval_of(kStopStep);
+  timeval wait = timeval_of(kStopCheckInterval);
   event_add(r->stop_event_.get(), &wait);
 }
 
 // ---- discovery ----
 
-void Router::apply(HostList&& told) {
-  note_leaving(told);
-  HostList list = hand_.apply_list(std::move(told));
+void Router::apply(HostList&& discovered) {
+  log_leaving(discovered);
+  HostList list = hand_.apply_list(std::move(discovered));
   servers_.apply_list(list);
   core_.list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
@@ -280,39 +284,39 @@
   if (!drains.hosts.empty()) apply(std::move(drains));
 }
 
-void Router::on_hosts(HostList&& told) {
-  apply(std::move(told));
+void Router::on_hosts(HostList&& discovered) {
+  apply(std::move(discovered));
   recovery_.told(clock_.now(), has_ready_server());
-  if (memory_) memory_->on_list_confirmed(hand_.discovered_list());
+  if (list_persistence_) list_persistence_->on_list_confirmed(hand_.discovered_list());
   take_over_if_ready();
 }
 
-/// The module's pace is for a router that has nothing to send to. With a list in hand the next call
-/// is by the one budget (src/membership/call_schedule), which a second plan beside it would only
-/// double.
+/// The module asks for a watch at the pace of a router that has no server. While a server is
+/// usable, only src/membership/call_schedule plans the calls: a second plan would double their
+/// number.
 void Router::watch() {
   if (!(has_ready_server() && discovery_.planned())) discovery_.watch();
 }
 
-/// One line of the servers that a list newly announces as leaving or gone, with when it came.
-void Router::note_leaving(const HostList& told) const {
+/// Logs one line with the servers that a list newly reports as leaving or gone.
+void Router::log_leaving(const HostList& list) const {
   using robinseam::Health;
-  constexpr std::size_t kNamed = 16;
+  constexpr std::size_t kMaxNamed = 16;
   std::size_t count = 0;
   std::string names;
   std::unordered_map<std::string_view, Health> now;
-  for (const Host& h : told.hosts) now[h.server.id] = h.server.health;
-  for (const auto& [id, held] : hand_.effective_hosts()) {
+  for (const Host& h : list.hosts) now[h.server.id] = h.server.health;
+  for (const auto& [id, current] : hand_.effective_hosts()) {
     auto at = now.find(id);
-    bool leaves = at != now.end() ? at->second != Health::Ready : told.full;
-    if (leaves && held.server.health == Health::Ready && ++count <= kNamed) names += ' ' + id;
+    bool leaves = at != now.end() ? at->second != Health::Ready : list.full;
+    if (leaves && current.server.health == Health::Ready && ++count <= kMaxNamed) names += ' ' + id;
   }
   if (count == 0) return;
-  std::fprintf(stderr, "arrowfork: list %s: %zu leaving:%s%s\n", told.version.c_str(), count,
-               names.c_str(), count > kNamed ? " ..." : "");
+  std::fprintf(stderr, "arrowfork: list %s: %zu leaving:%s%s\n", list.version.c_str(), count,
+               names.c_str(), count > kMaxNamed ? " ..." : "");
 }
 
-// ---- coming back ----
+// ---- recovery ----
 
 bool Router::has_ready_server() const {
   return std::any_of(
@@ -320,15 +324,15 @@
       [](const auto& entry) { return entry.second.server.health == robinseam::Health::Ready; });
 }
 
-void Router::note_recovery() {
+void Router::update_recovery() {
   std::uint64_t served = 0, unserved = 0;
   for (const Core::Counts::Ends& e : core_.counts().ends)
     served += e.served, unserved += e.refused + e.failed;
-  if (served + unserved != served_seen_ + unserved_seen_)
-    recovery_.ended(clock_.now(), static_cast<int>(served - std::exchange(served_seen_, served)),
-                    static_cast<int>(unserved - std::exchange(unserved_seen_, unserved)));
+  if (served + unserved != last_served_ + last_unserved_)
+    recovery_.ended(clock_.now(), static_cast<int>(served - std::exchange(last_served_, served)),
+                    static_cast<int>(unserved - std::exchange(last_unserved_, unserved)));
   auto phase = recovery_.view(clock_.now()).phase;
-  if (phase == std::exchange(told_phase_, phase)) return;
+  if (phase == std::exchange(logged_phase_, phase)) return;
   std::fprintf(stderr, "arrowfork: recovery: %s", recovery_line().c_str());
 }
 
@@ -345,39 +349,39 @@
   return text;
 }
 
-/// Discovery's own word for it goes before the age: what has been missed counts by now.
+/// An overdue notification makes the list old whatever its age: missed changes must be acted on.
 bool Router::list_is_old(const robinseam::recovery::Recovery::View& view) const {
   return view.old || discovery_.overdue();
 }
 
-void Router::on_pulse(evutil_socket_t, short, void* self) {
+void Router::on_heartbeat(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   Micros now = r->clock_.now();
-  if (r->memory_) r->memory_->continue_writing();
-  r->note_overdue();
-  if (now - std::exchange(r->pulse_at_, now) < kPulse + kStoodStill) return;
-  // What is held is from before: discovery is asked what has changed since. Whatever stopped this
-  // process may have stopped the whole tier, so within the time that a tier's calls need.
+  if (r->list_persistence_) r->list_persistence_->continue_writing();
+  r->log_overdue();
+  if (now - std::exchange(r->last_heartbeat_at_, now) < kHeartbeatInterval + kMinPause) return;
+  // The list dates from before the pause, so discovery is polled for changes. The cause may have
+  // paused the whole tier: the poll is spread over the time that the calls of a tier need.
   r->recovery_.stood_still(now);
   robinseam::recovery::Asking asking(r->config_.settings.routers, r->config_.settings.ask_within);
   r->discovery_.look_again(asking.first(1));
-  std::fprintf(stderr, "arrowfork: the process stood still; discovery is asked anew\n");
+  std::fprintf(stderr, "arrowfork: the process was paused; polling discovery again\n");
 }
 
-/// Said once as it begins and once as it ends. The list stays in use, drained servers and all: with
-/// discovery away no server is known to be better than the ones that are held.
-void Router::note_overdue() {
+/// Logs once when the list becomes overdue and once when it is up to date again. The list stays in
+/// use, even with servers that may be draining: without discovery no better servers are known.
+void Router::log_overdue() {
   bool overdue = discovery_.overdue();
-  if (overdue == std::exchange(told_overdue_, overdue)) return;
+  if (overdue == std::exchange(logged_overdue_, overdue)) return;
   const char* version = discovery_.version().empty() ? "none" : discovery_.version().c_str();
   if (!overdue) {
-    std::fprintf(stderr, "arrowfork: discovery: answers again, the list is of now; list %s\n",
+    std::fprintf(stderr, "arrowfork: discovery: answers again, the list is up to date; list %s\n",
                  version);
     return;
   }
   double late = static_cast<double>(clock_.now() - discovery_.deadline()) / kSecond;
   std::fprintf(stderr,
-               "arrowfork: discovery: no answer in the time in which changes count as told; "
+               "arrowfork: discovery: no answer before the notification deadline; "
                "list %s; reason=%s passed %.2f s ago\n",
                version, discovery_.deadline_reason(), late);
 }
@@ -399,10 +403,10 @@
       return control_answer(200, metrics(), "application/json");
     case Kind::Disable:
     case Kind::Enable:
-      return set_out(call.id, call.kind == Kind::Disable);
+      return set_server_disabled(call.id, call.kind == Kind::Disable);
     case Kind::Drain:
     case Kind::Resume:
-      std::fprintf(stderr, "arrowfork: %s by hand\n",
+      std::fprintf(stderr, "arrowfork: %s by the operator\n",
                    call.kind == Kind::Drain ? "drained" : "resumed");
       clients_.set_operator_drain(call.kind == Kind::Drain);
       return control_answer(200, "done\n");
@@ -410,26 +414,27 @@
   return control_answer(400, "no such call\n");
 }
 
-std::string Router::set_out(const std::string& id, bool out) {
+std::string Router::set_server_disabled(const std::string& id, bool disable) {
   if (!hand_.is_known(id)) return control_answer(404, "no such cache server\n");
   std::string error;
-  auto bans = ban_file_.set_disabled(id, out, clock_.now(), error);
-  if (!bans) {
-    std::fprintf(stderr, "arrowfork: %s: %s: %s\n", out ? "disable" : "enable", id.c_str(),
+  auto disabled = ban_file_.set_disabled(id, disable, clock_.now(), error);
+  if (!disabled) {
+    std::fprintf(stderr, "arrowfork: %s: %s: %s\n", disable ? "disable" : "enable", id.c_str(),
                  error.c_str());
     return control_answer(500, error + "\n");
   }
-  std::fprintf(stderr, "arrowfork: cache server %s %s by hand\n", id.c_str(), out ? "out" : "back");
-  apply_bans(*bans);
+  std::fprintf(stderr, "arrowfork: cache server %s %s by the operator\n", id.c_str(),
+               disable ? "disabled" : "enabled");
+  apply_disabled_servers(*disabled);
   return control_answer(200, "done\n");
 }
 
-void Router::apply_bans(const DisabledServers& bans) {
-  HostList part = hand_.set_disabled(bans, clock_.now());
+void Router::apply_disabled_servers(const DisabledServers& disabled) {
+  HostList part = hand_.set_disabled(disabled, clock_.now());
   if (part.hosts.empty()) return;
   servers_.apply_list(part);
   core_.list(ListScope::Delta, servers_of(part));
-  core_.turn();  // yes means that the decisions know it
+  core_.turn();  // the caller's answer promises that decisions take it into account
 }
 
 std::string Router::metrics() const {
@@ -449,7 +454,7 @@
   json["hosts_down"] = std::count_if(
       hand_.effective_hosts().begin(), hand_.effective_hosts().end(), [this](const auto& entry) {
         return entry.second.server.health != robinseam::Health::Ready ||
-               core_.live_fraction(entry.first) < kAvoided;
+               core_.live_fraction(entry.first) < kMinLiveShare;
       });
   json["reconfig_ok"] = reloads_ok_;
   json["reconfig_failed"] = reloads_failed_;
@@ -459,12 +464,12 @@
 void Router::on_tick(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   std::string error;
-  if (auto bans = r->ban_file_.read_if_changed(error)) r->apply_bans(*bans);
+  if (auto disabled = r->ban_file_.read_if_changed(error)) r->apply_disabled_servers(*disabled);
   if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
-  r->handover_->report_held_descriptors(r->held_descriptors());
+  r->handover_->report_held_descriptors(r->descriptors_in_use());
 }
 
-// ---- a new version ----
+// ---- upgrade ----
 
 void Router::take_over_if_ready() {
   if (!taking_over_) return;
@@ -473,63 +478,64 @@
     taking_over_ = true;
     return;
   }
-  std::fprintf(stderr, "arrowfork: takes over from the running process\n");
+  std::fprintf(stderr, "arrowfork: taking over from the running process\n");
   handover_->announce_accepting();
   clients_.suspend_accepting(false);
 }
 
 void Router::on_successor_ready() {
-  std::fprintf(stderr, "arrowfork: a new process accepts clients\n");
+  std::fprintf(stderr, "arrowfork: a new process accepts clients; accepting suspended here\n");
   clients_.suspend_accepting(true);
-  share_out();
+  apply_limits();
 }
 
 void Router::on_successor_lost() {
   std::fprintf(stderr, "arrowfork: the new process has ended\n");
   if (!stopping_since_) clients_.suspend_accepting(false);
   clients_.set_hand_over(nullptr);
-  share_out();
+  apply_limits();
 }
 
 void Router::on_predecessor_descriptors(std::size_t descriptors) {
-  held_elsewhere_ = descriptors;
-  share_out();
+  other_process_descriptors_ = descriptors;
+  apply_limits();
 }
 
 void Router::on_predecessor_gone() {
-  held_elsewhere_ = 0;
-  share_out();
+  other_process_descriptors_ = 0;
+  apply_limits();
   take_over_if_ready();
 }
 
-std::size_t Router::held_descriptors() const {
+std::size_t Router::descriptors_in_use() const {
   return clients_.connections() + servers_.connections() + kReservedSockets;
 }
 
-/// Shares the limits out. Both processes of an upgrade are under one: the old one opens nothing
-/// more than it has, and the new one has what that leaves.
-void Router::share_out() {
-  Config part = config_;
+/// Both processes of an upgrade share one set of limits: the old one opens no more connections than
+/// it has, and the new one gets the rest.
+void Router::apply_limits() {
+  Config limits = config_;
   bool successor = handover_ && handover_->has_successor();
-  if (successor || held_elsewhere_ > 0) part.memory_bytes /= 2;
-  part.sockets = std::max(kLeastSockets, part.sockets - std::min(part.sockets, held_elsewhere_));
-  ServerSide::Limits servers = server_limits(part);
+  if (successor || other_process_descriptors_ > 0) limits.memory_bytes /= 2;
+  limits.sockets =
+      std::max(kMinSockets, limits.sockets - std::min(limits.sockets, other_process_descriptors_));
+  ServerSide::Limits servers = server_limits(limits);
   if (successor) servers.max_connections = std::max<std::size_t>(1, servers_.connections());
   servers_.set_limits(servers);
-  clients_.set_limits(client_limits(part));
+  clients_.set_limits(client_limits(limits));
 }
 
 // ---- timers ----
 
 void Router::on_timer(evutil_socket_t, short, void* self) {
-  static_cast<Router*>(self)->armed_at_ = 0;  // run() takes the turn that is due
+  static_cast<Router*>(self)->timer_due_at_ = 0;  // run() performs the turn that is due
 }
 
-void Router::arm() {
+void Router::arm_timer() {
   Micros due = core_.next_timer();
-  if (!due || (armed_at_ && armed_at_ <= due)) return;
-  armed_at_ = due;
-  timeval wait = timeval_of(std::max<Micros>(armed_at_ - clock_.now(), 0));
+  if (!due || (timer_due_at_ && timer_due_at_ <= due)) return;
+  timer_due_at_ = due;
+  timeval wait = timeval_of(std::max<Micros>(timer_due_at_ - clock_.now(), 0));
   event_add(timer_event_.get(), &wait);
 }
 
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -1,4 +1,5 @@
-// The router: the core between client connections, server connections and discovery, on one loop.
+// The router: connects the core with client connections, server connections and discovery, all on
+// one event loop.
 #pragma once
 
 #include <memory>
@@ -32,32 +33,32 @@
   /// Throws ConfigError when the configuration can't be used. `clock` must outlive the router.
   Router(event_base* base, const Config& config, const TimeSource& clock);
 
-  /// False with the reason in `error`.
+  /// On failure returns false with the reason in `error`.
   bool listen(std::string& error);
-  /// Runs until stop() has been carried out.
+  /// Runs until stop() has completed or quit() is called.
   void run();
-  /// Swaps the configuration under load: requests and connections go on. Throws ConfigError, with
-  /// nothing changed, when it can't be used.
+  /// Changes the configuration under load: requests and connections continue. Throws ConfigError,
+  /// with nothing changed, when it can't be used.
   void reload(const Config& next);
-  /// Planned end: see PROTOCOL's figures for restarts.
+  /// Starts the planned shutdown; its times are those of PROTOCOL for restarts.
   void stop();
   /// Ends run() without a drain.
   void quit() { done_ = true; }
   std::uint16_t port() const { return clients_.port(); }
-  /// Of the control address; 0 where there is none.
+  /// Port of the control address; 0 if there is none.
   std::uint16_t control_port() const { return control_ ? control_->port() : 0; }
-  /// Clients are accepted here and some cache server is listed that may be used.
+  /// True if this process accepts clients and a listed server may be used.
   bool ready() const;
-  /// A listed server may be used.
+  /// True if a listed server may be used.
   bool has_ready_server() const;
-  /// A reload that could not be carried out, for the figures.
+  /// Counts a reload that could not be applied, for the metrics.
   void record_failed_reload() { ++reloads_failed_; }
   Core& core() { return core_; }
-  /// A further front, which takes part in the loop and in the planned end from here on. It must
-  /// outlive run().
-  /// Is told each list from now on; nullptr: none. It must outlive the router.
-  void set_list_persistence(ListPersistence* memory) { memory_ = memory; }
-  void add_frontend(Frontend& front) { fronts_.push_back(&front); }
+  /// `persistence` receives each list that discovery confirms from now on; nullptr for none. It
+  /// must outlive the router.
+  void set_list_persistence(ListPersistence* persistence) { list_persistence_ = persistence; }
+  /// Adds a frontend to the loop and to the planned shutdown. It must outlive run().
+  void add_frontend(Frontend& frontend) { frontends_.push_back(&frontend); }
   std::string address_of(const std::string& server) const { return servers_.address_of(server); }
   const std::vector<robinseam::ReportField>& report_fields() const {
     return config_.settings.report_fields;
@@ -88,62 +89,63 @@
   void on_predecessor_descriptors(std::size_t descriptors) override;
   void on_predecessor_gone() override;
 
-  std::string set_out(const std::string& id, bool out);
-  void apply_bans(const DisabledServers& bans);
-  /// Accepts clients in the predecessor's place as soon as they can be served.
+  std::string set_server_disabled(const std::string& id, bool disabled);
+  void apply_disabled_servers(const DisabledServers& disabled);
+  /// Accepts clients in place of the predecessor as soon as they can be served.
   void take_over_if_ready();
-  std::size_t held_descriptors() const;
-  void share_out();
+  std::size_t descriptors_in_use() const;
+  /// Applies the resource limits, shared with the other process of an upgrade.
+  void apply_limits();
   std::string metrics() const;
   static void on_tick(evutil_socket_t, short, void* self);
   static void on_timer(evutil_socket_t, short, void* self);
   static void on_stop_step(evutil_socket_t, short, void* self);
-  /// The settings that decide when changes of the list count as told.
+  /// Logs the settings that decide from when a list change must be acted on.
   void log_settings() const;
-  /// The log's lines: figures, servers at which anything but answers came, servers that go or
-  /// return.
+  /// Periodic log lines: counters, servers with failed attempts, servers that went down or up.
   void log_servers();
   void log_states();
   static void on_log(evutil_socket_t, short, void* self);
-  static void on_pulse(evutil_socket_t, short, void* self);
-  /// Tells the recovery what came of requests, and the log where that has led.
-  void note_recovery();
-  /// One line for those who ask whether it is ready.
+  static void on_heartbeat(evutil_socket_t, short, void* self);
+  /// Passes request results to recovery_ and logs a change of its phase.
+  void update_recovery();
+  /// One line about recovery for readiness answers and the log.
   std::string recovery_line();
   bool list_is_old(const robinseam::recovery::Recovery::View& view) const;
-  void note_overdue();
-  void note_leaving(const HostList& told) const;
-  /// Acts on a list or a change of it, whoever it is from.
-  void apply(HostList&& told);
-  void arm();
-  /// Every figure under its name, for the log and for a client's STAT.
+  void log_overdue();
+  void log_leaving(const HostList& list) const;
+  /// Applies a full list or a change of it, whatever its source.
+  void apply(HostList&& discovered);
+  /// Arms the timer of the core's next timed event.
+  void arm_timer();
+  /// All counters and gauges by name, for the log and for a client's STAT.
   std::vector<std::pair<std::string, std::string>> stats() const;
 
   event_base* base_;
   Config config_;
   const TimeSource& clock_;
-  Micros born_;
+  Micros started_at_;
   Core core_;
-  Micros armed_at_ = 0;
-  EventPtr timer_event_, stop_event_, log_event_, tick_event_, pulse_event_;
+  Micros timer_due_at_ = 0;
+  EventPtr timer_event_, stop_event_, log_event_, tick_event_, heartbeat_event_;
   ServerSide servers_;
   ClientSide clients_;
   Discovery discovery_;
   OperatorOverrides hand_;
   DisabledServersFile ban_file_;
-  mutable robinseam::recovery::Recovery recovery_;  // its view moves on with time alone
-  robinseam::recovery::Phase told_phase_ = robinseam::recovery::Phase::Starting;
-  bool told_overdue_ = false;
-  std::uint64_t served_seen_ = 0, unserved_seen_ = 0;
-  Micros pulse_at_;
+  mutable robinseam::recovery::Recovery recovery_;  // view() also advances its phase with time
+  robinseam::recovery::Phase logged_phase_ = robinseam::recovery::Phase::Starting;
+  bool logged_overdue_ = false;
+  std::uint64_t last_served_ = 0, last_unserved_ = 0;
+  Micros last_heartbeat_at_;
   std::unique_ptr<ControlServer> control_;
   std::unique_ptr<Handover> handover_;
-  bool taking_over_ = false;        // the predecessor still accepts
-  std::size_t held_elsewhere_ = 0;  // descriptors of the other process of an upgrade
+  bool taking_over_ = false;                   // the predecessor still accepts clients
+  std::size_t other_process_descriptors_ = 0;  // open in the other process of an upgrade
   std::uint64_t reloads_ok_ = 0, reloads_failed_ = 0;
-  std::vector<Frontend*> fronts_;
-  ListPersistence* memory_ = nullptr;
-  std::set<std::string> down_;  // listed servers that the last line of states left as down
+  std::vector<Frontend*> frontends_;
+  ListPersistence* list_persistence_ = nullptr;
+  std::set<std::string> down_servers_;  // listed servers that the last `states` line left as down
   Micros stopping_since_ = 0;
   bool done_ = false;
 };
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -1,4 +1,4 @@
-// The router's figures: one list of them, for the log in logfmt and for a client's STAT.
+// The router's counters and gauges: one list, for the log in logfmt and for a client's STAT.
 #include <cmath>
 #include <cstdio>
 
@@ -7,9 +7,9 @@
 namespace arrowfork {
 namespace {
 
-// A server that is live over less of its slots than this is down as the log has it: a dead one, one
-// whose keys have mostly moved. What has returned is above it half way up its ramp.
-constexpr double kDown = 0.5;
+// A server with a smaller share of live slots is logged as down: it is dead or most of its keys
+// have moved. A returning server passes this value half way up its ramp.
+constexpr double kDownLiveShare = 0.5;
 
 std::string text_of(double value) {
   char text[32];
@@ -24,17 +24,17 @@
   const ServerSide::Counts& s = servers_.counts();
   const DiscoveryCall::Counts& d = discovery_.counts();
   const robinseam::Balancer::Stats m = core_.module_stats();
-  robinseam::recovery::Recovery::View back = recovery_.view(clock_.now());
+  robinseam::recovery::Recovery::View recovery = recovery_.view(clock_.now());
   std::vector<std::pair<std::string, std::string>> all;
   auto add = [&](const char* name, auto value) { all.emplace_back(name, std::to_string(value)); };
-  auto part = [&](const char* name, double value) { all.emplace_back(name, text_of(value)); };
+  auto add_real = [&](const char* name, double value) { all.emplace_back(name, text_of(value)); };
   add("time", clock_.now() / kSecond);
   add("time_ms", clock_.now() / kMillisecond);
-  add("uptime_ms", (clock_.now() - born_) / kMillisecond);
-  // Early in the line: a collector may cut long lines.
+  add("uptime_ms", (clock_.now() - started_at_) / kMillisecond);
+  // Early in the line, because a log collector may cut long lines.
   all.emplace_back("list_version", discovery_.version().empty() ? "none" : discovery_.version());
-  add("list_age_ms", back.list_age < 0 ? -1 : back.list_age / kMillisecond);
-  add("list_old", list_is_old(back) ? 1 : 0);
+  add("list_age_ms", recovery.list_age < 0 ? -1 : recovery.list_age / kMillisecond);
+  add("list_old", list_is_old(recovery) ? 1 : 0);
   add("discovery_calls", d.calls);
   add("discovery_calls_failed", d.failed);
   add("discovery_answers_bad", d.invalid);
@@ -66,7 +66,7 @@
   add("server_dials", s.dials);
   add("server_dials_failed", s.failed_dials);
   add("server_dials_no_room", s.dials_over_connection_limit);
-  part("server_idle_part", servers_.idle_time_fraction());
+  add_real("server_idle_part", servers_.idle_time_fraction());
   add("server_connections_none", s.no_connection);
   add("server_connections_pipelined", s.pipelined);
   add("server_connections_ended_idle", s.ended_idle);
@@ -80,31 +80,31 @@
   add("server_garbage", s.malformed_answers);
   add("server_late_answers", s.late_answers);
   add("server_wrong_protocol", s.wrong_protocol);
-  all.emplace_back("recovery", robinseam::recovery::name_of(back.phase));
-  add("recovery_since_ms", (clock_.now() - back.since) / kMillisecond);
-  const char* const company[] = {"unknown", "alone", "together"};
-  all.emplace_back("came_back", company[m.came_back]);
+  all.emplace_back("recovery", robinseam::recovery::name_of(recovery.phase));
+  add("recovery_since_ms", (clock_.now() - recovery.since) / kMillisecond);
+  const char* const kRestartVerdicts[] = {"unknown", "alone", "together"};
+  all.emplace_back("came_back", kRestartVerdicts[m.came_back]);
   add("writes_known", m.writes_known);
   add("writes_forgotten", m.writes_forgotten);
   add("servers", m.servers);
-  part("servers_live", m.live);
-  part("near", m.near_pull);
-  part("shed_fetched", m.shed_fetched);
-  part("shed_held", m.shed_held);
-  part("fetch_limit", m.fetch_limit);
-  part("fetches_out", m.fetches_out);
-  part("late", m.late);
-  part("errors", m.errors);
-  part("full", m.full);
-  part("unreachable", m.unreachable);
-  part("spoilt", m.spoilt);
-  part("utilization", m.utilization);
+  add_real("servers_live", m.live);
+  add_real("near", m.near_pull);
+  add_real("shed_fetched", m.shed_fetched);
+  add_real("shed_held", m.shed_held);
+  add_real("fetch_limit", m.fetch_limit);
+  add_real("fetches_out", m.fetches_out);
+  add_real("late", m.late);
+  add_real("errors", m.errors);
+  add_real("full", m.full);
+  add_real("unreachable", m.unreachable);
+  add_real("spoilt", m.spoilt);
+  add_real("utilization", m.utilization);
   add("seeds", m.saved_seeds);
   add("keys", m.tracked_keys);
-  if (memory_)
-    for (auto& [name, value] : memory_->stats()) all.emplace_back(name, value);
-  for (const Frontend* front : fronts_)
-    for (const auto& [name, value] : front->counters()) add(name.c_str(), value);
+  if (list_persistence_)
+    for (auto& [name, value] : list_persistence_->stats()) all.emplace_back(name, value);
+  for (const Frontend* frontend : frontends_)
+    for (const auto& [name, value] : frontend->counters()) add(name.c_str(), value);
   return all;
 }
 
@@ -125,15 +125,16 @@
   auto* r = static_cast<Router*>(self);
   std::string line = "arrowfork: figures";
   for (const auto& [name, value] : r->stats()) line += ' ' + name + '=' + value;
-  const auto worst = r->servers_.take_most_abandoned();  // attempts given up there
+  const auto worst = r->servers_.take_most_abandoned();  // server with the most abandoned attempts
   if (worst.second > 0) line += " worst=" + worst.first + ':' + std::to_string(worst.second);
   std::fprintf(stderr, "%s\n", line.c_str());
   r->log_servers();
   r->log_states();
 }
 
-/// One line of the servers at which anything but answers came since the last: id, then answered,
-/// failed, full, given up, unreached (with resets) and the part of its slots it is live over.
+/// Logs one line with the servers that had failed attempts since the last line: id, then the counts
+/// of served, failed, rejected as full, abandoned and unreached (with resets), and the share of
+/// live slots.
 void Router::log_servers() {
   std::string line;
   for (const auto& [id, counts] : core_.take_server_counts()) {
@@ -151,18 +152,18 @@
   if (!line.empty()) std::fprintf(stderr, "arrowfork: at%s\n", line.c_str());
 }
 
-/// One line of the listed servers that have gone down or returned, as this router sees them, since
-/// the last. What the list takes away is neither.
+/// Logs one line with the listed servers that went down or came up since the last line, as seen by
+/// this router. Servers removed from the list are not included.
 void Router::log_states() {
   std::string line;
   std::set<std::string> down;
   for (const auto& [id, host] : hand_.effective_hosts()) {
     if (host.server.health != robinseam::Health::Ready) continue;
-    bool is_down = core_.live_fraction(id) < kDown;
+    bool is_down = core_.live_fraction(id) < kDownLiveShare;
     if (is_down) down.insert(id);
-    if (is_down != (down_.count(id) > 0)) line += ' ' + id + (is_down ? "=down" : "=up");
+    if (is_down != (down_servers_.count(id) > 0)) line += ' ' + id + (is_down ? "=down" : "=up");
   }
-  down_ = std::move(down);
+  down_servers_ = std::move(down);
   if (!line.empty()) std::fprintf(stderr, "arrowfork: states%s\n", line.c_str());
 }
 
