--- a/src/net/server_codec.cpp
+++ b/src/net/server_codec.cpp
@@ -13,7 +13,7 @@
   explicit MetaServerCodec(const std::vector<robinseam::ReportField>* fields) : reader_(fields) {}
 
   Encoded encode(const Request& r, std::int64_t wait_ms, std::uint32_t,
-                 Expected& expected) const override {
+                 ExpectedAnswer& expected) const override {
     expected = {r.write, r.wants_flags, r.id, 0};
     char digits[24];
     std::string_view wait(digits,
@@ -27,7 +27,7 @@
       text.append(r.line_before_wait).append(wait).append(r.line_after_wait);
     } else {
       text.reserve(128 + r.key.size() + value);
-      compose(r, wait, text);
+      append_command(r, wait, text);
     }
     text += "\r\n";
     if (bulk) return {std::move(text), r.value, "\r\n"};
@@ -35,31 +35,31 @@
     return {std::move(text), nullptr, {}};
   }
 
-  Got take(std::string_view& in, const Expected* next, Answer& answer) override {
-    arrowfork::Answer got;
-    auto what = Got::Answer;
-    switch (reader_.take(in, got)) {
+  Parsed parse(std::string_view& in, const ExpectedAnswer* next, Answer& answer) override {
+    arrowfork::Answer read;
+    auto parsed = Parsed::Answer;
+    switch (reader_.take(in, read)) {
       case AnswerReader::Got::Begin:
-        what = Got::Begin;
+        parsed = Parsed::ValueStart;
         break;
       case AnswerReader::Got::Nothing:
-        return Got::Nothing;
+        return Parsed::Incomplete;
       case AnswerReader::Got::Broken:
-        return Got::Broken;
+        return Parsed::Invalid;
       case AnswerReader::Got::Answer:
         break;
     }
-    if (!next || !fits(*next, got)) return Got::Broken;
-    answer.status = status_of(got);
-    answer.named = !got.id.empty();
-    answer.last = got.last;
-    answer.length = got.length;
-    answer.result.value = std::move(got.value);
-    answer.result.receipt = std::move(got.receipt);
-    answer.result.flags = got.flags.value_or(0);
-    answer.result.note = got.note;
-    answer.result.report = std::move(got.report);
-    return what;
+    if (!next || !matches(*next, read)) return Parsed::Invalid;
+    answer.status = status_of(read);
+    answer.identified = !read.id.empty();
+    answer.framing_lost = read.last;
+    answer.value_length = read.length;
+    answer.result.value = std::move(read.value);
+    answer.result.receipt = std::move(read.receipt);
+    answer.result.flags = read.flags.value_or(0);
+    answer.result.note = read.note;
+    answer.result.report = std::move(read.report);
+    return parsed;
   }
 
   bool in_answer() const override { return reader_.in_answer(); }
@@ -69,9 +69,9 @@
   }
 
  private:
-  /// The line of a request whose client does not speak meta: PROTOCOL's form, and the standard meta
-  /// flags for what a binary client keeps beside its value.
-  static void compose(const Request& r, std::string_view wait, std::string& text) {
+  /// The command line for a request whose client does not speak meta: the form that PROTOCOL
+  /// specifies, with the standard meta flags for a binary client's item flags and expiry.
+  static void append_command(const Request& r, std::string_view wait, std::string& text) {
     text.append(r.write ? "ms " : "mg ").append(r.key);
     if (r.write)
       text.append(" ").append(std::to_string(r.value->size()));
@@ -101,76 +101,78 @@
     }
   }
 
-  static bool fits(const Expected& e, const arrowfork::Answer& answer) {
+  static bool matches(const ExpectedAnswer& e, const arrowfork::Answer& answer) {
     using Kind = arrowfork::Answer::Kind;
     if (answer.kind == Kind::Value && (e.write || (e.wants_flags && !answer.flags))) return false;
     if (answer.kind == Kind::Stored && !e.write) return false;
-    if (answer.kind == Kind::Value || answer.kind == Kind::Stored) return answer.id == e.name;
-    return answer.id.empty() || answer.id == e.name;
+    if (answer.kind == Kind::Value || answer.kind == Kind::Stored) return answer.id == e.id_or_key;
+    return answer.id.empty() || answer.id == e.id_or_key;
   }
 
   AnswerReader reader_;
 };
 
-/// Reads are sent as GETK, whose answer names the key, and every packet bears an opaque of its own.
+/// Sends reads as GETK, whose answer repeats the key; every packet has a unique opaque.
 class BinaryServerCodec final : public ServerCodec {
  public:
   explicit BinaryServerCodec(const bool& cas_is_key) : cas_is_key_(cas_is_key) {}
 
   Encoded encode(const Request& r, std::int64_t, std::uint32_t opaque,
-                 Expected& expected) const override {
+                 ExpectedAnswer& expected) const override {
     expected = {r.write, false, r.key, opaque};
     binary::Command c;
     c.opcode = r.write ? binary::Opcode::Set : binary::Opcode::GetK;
     c.opaque = opaque;
     c.flags = r.flags;
     c.expiry = r.expiry;
-    if (cas_is_key_ && r.write && fits_cas(r.idempotency)) c.cas = cas_of(r.idempotency);
+    if (cas_is_key_ && r.write && is_representable_as_cas(r.idempotency))
+      c.cas = cas_of(r.idempotency);
     c.key = r.key;
     if (r.value) c.value = *r.value;
     return {binary::request(c), nullptr, {}};
   }
 
-  Got take(std::string_view& in, const Expected* next, Answer& answer) override {
-    binary::Answer got;
-    switch (reader_.take(in, got)) {
+  Parsed parse(std::string_view& in, const ExpectedAnswer* next, Answer& answer) override {
+    binary::Answer read;
+    switch (reader_.take(in, read)) {
       case binary::AnswerReader::Got::Nothing:
-        return Got::Nothing;
+        return Parsed::Incomplete;
       case binary::AnswerReader::Got::Broken:
-        return Got::Broken;
+        return Parsed::Invalid;
       case binary::AnswerReader::Got::Answer:
         break;
     }
-    if (!next || !fits(*next, got)) return Got::Broken;
+    if (!next || !matches(*next, read)) return Parsed::Invalid;
     answer = Answer();
-    answer.status = status_of(*next, got.status);
-    answer.named = true;  // by its opaque
-    if (answer.status == Status::Ok && next->write) answer.result.receipt = receipt_of(got.cas);
+    answer.status = status_of(*next, read.status);
+    answer.identified = true;  // by the opaque
+    if (answer.status == Status::Ok && next->write) answer.result.receipt = receipt_of(read.cas);
     if (answer.status == Status::Ok && !next->write) {
-      answer.result.value = std::move(got.value);
-      answer.result.flags = got.flags;
+      answer.result.value = std::move(read.value);
+      answer.result.flags = read.flags;
     }
-    return Got::Answer;
+    return Parsed::Answer;
   }
 
   bool in_answer() const override { return reader_.in_answer(); }
   bool is_other_protocol(unsigned char first) const override {
-    return first >= 'A' && first <= 'Z';  // every meta answer begins so
+    return first >= 'A' && first <= 'Z';  // every meta answer starts with a capital letter
   }
 
  private:
-  static Status status_of(const Expected& e, std::uint16_t status) {
+  static Status status_of(const ExpectedAnswer& e, std::uint16_t status) {
     if (status == binary::status::kOk) return Status::Ok;
     if (status == binary::status::kBusy) return Status::Full;
     return status == binary::status::kNotFound && !e.write ? Status::Miss : Status::Error;
   }
 
-  static bool fits(const Expected& e, const binary::Answer& answer) {
+  static bool matches(const ExpectedAnswer& e, const binary::Answer& answer) {
     auto opcode = e.write ? binary::Opcode::Set : binary::Opcode::GetK;
     if (answer.opaque != e.opaque || answer.opcode != static_cast<std::uint8_t>(opcode))
       return false;
-    if (answer.status != binary::status::kOk) return answer.key.empty() || answer.key == e.name;
-    return e.write ? answer.key.empty() && answer.value.empty() : answer.key == e.name;
+    if (answer.status != binary::status::kOk)
+      return answer.key.empty() || answer.key == e.id_or_key;
+    return e.write ? answer.key.empty() && answer.value.empty() : answer.key == e.id_or_key;
   }
 
   const bool& cas_is_key_;
@@ -186,7 +188,7 @@
   return std::make_unique<MetaServerCodec>(fields);
 }
 
-bool fits_cas(const std::string& key) {
+bool is_representable_as_cas(const std::string& key) {
   std::uint64_t cas = cas_of(key);
   return cas != 0 && receipt_of(cas) == key;
 }
--- a/src/net/server_codec.hpp
+++ b/src/net/server_codec.hpp
@@ -1,4 +1,4 @@
-// Between the core's requests and a cache server's bytes, one codec a protocol.
+// Codecs between the core's requests and the bytes of a cache server, one for each protocol.
 #pragma once
 
 #include <memory>
@@ -14,59 +14,60 @@
 
 enum class ServerProtocol { Meta, Binary };
 
-/// What the next answer of a connection must belong to.
-struct Expected {
+/// Identifies the command that the next answer on a connection must belong to.
+struct ExpectedAnswer {
   bool write = false;
   bool wants_flags = false;
-  std::string name;  ///< meta: the request's id; binary: its key
+  std::string id_or_key;  ///< meta: the request's id; binary: its key
   std::uint32_t opaque = 0;
 };
 
-/// Reads one connection and writes what goes out on it.
+/// Encodes the commands and parses the answers of one connection.
 class ServerCodec {
  public:
   virtual ~ServerCodec() = default;
-  /// What one attempt writes: `bytes`, then the value where it is large, then `tail`.
+  /// The bytes of one attempt, in the order in which they are written.
   struct Encoded {
     std::string bytes;
-    std::shared_ptr<const std::string> value;
-    std::string_view tail;  ///< of static storage
+    std::shared_ptr<const std::string> value;  ///< set when the value is large
+    std::string_view tail;                     ///< points to static storage
   };
-  /// `expected` is filled with what its answer must bear. `opaque` is another with each call on any
+  /// Fills `expected` with what the answer has to carry. `opaque` must differ for each call on any
   /// connection.
   virtual Encoded encode(const Request& request, std::int64_t wait_ms, std::uint32_t opaque,
-                         Expected& expected) const = 0;
+                         ExpectedAnswer& expected) const = 0;
 
   struct Answer {
     Status status = Status::Error;
     AttemptResult result;
-    bool named = false;      ///< it bears what ties it to its command and to no other
-    bool last = false;       ///< after it the connection's framing is not to be trusted
-    std::size_t length = 0;  ///< of Begin: bytes of the value, with two more for its CRLF
+    bool identified = false;       ///< carries an id, key or opaque that ties it to its command
+    bool framing_lost = false;     ///< bytes after it can't be parsed reliably
+    std::size_t value_length = 0;  ///< for ValueStart: bytes of the value, without its CRLF
   };
-  enum class Got {
-    Nothing,  ///< all of `in` is consumed, no answer is whole
-    Answer,   ///< `answer` is whole and belongs to `next`
-    Begin,    ///< the same but for its value, which the caller takes from the bytes that follow
-    Broken,   ///< no answer, or not to `next`; the connection is of no more use
+  enum class Parsed {
+    Incomplete,  ///< all of `in` was consumed without completing an answer
+    Answer,      ///< `answer` is complete and belongs to `next`
+    ValueStart,  ///< as Answer, but the caller reads the value from the bytes that follow
+    Invalid,     ///< not an answer, or not one to `next`; the connection must be closed
   };
-  /// `next`: whose answer is due; null where none is.
-  virtual Got take(std::string_view& in, const Expected* next, Answer& answer) = 0;
-  /// True while an answer has come in part.
+  /// `next`: the command whose answer is due; null when none is.
+  virtual Parsed parse(std::string_view& in, const ExpectedAnswer* next, Answer& answer) = 0;
+  /// True while an answer has been received in part.
   virtual bool in_answer() const = 0;
-  /// True while what has come of a value ends like a whole one.
+  /// True while the bytes received of a value end with a line end, before its announced length.
   virtual bool ends_early() const { return false; }
-  /// Whether a connection that begins with `first` is that of the other protocol.
+  /// Whether `first`, the first byte received on a connection, belongs to the other protocol.
   virtual bool is_other_protocol(unsigned char first) const = 0;
 
-  /// `cas_is_key`: a binary server takes a write's CAS for its idempotency key; read with each one.
+  /// `cas_is_key`: a binary server takes the CAS of a write as its idempotency key. Kept by
+  /// reference and read for each write.
   static std::unique_ptr<ServerCodec> make(ServerProtocol protocol,
                                            const std::vector<robinseam::ReportField>* fields,
                                            const bool& cas_is_key);
 };
 
-/// Whether an idempotency key can go over as a CAS and be told from every other key there.
-bool fits_cas(const std::string& key);
+/// Whether an idempotency key can be sent as a CAS without colliding with another key.
+bool is_representable_as_cas(const std::string& key);
 
 const char* name_of(ServerProtocol protocol);
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -13,11 +13,13 @@
 namespace arrowfork {
 namespace {
 
-// A reset this soon after the send is the answer to the send itself.
-constexpr Micros kStaleReset = 10 * kMillisecond;
-// An answer that names no command may come twice, the second time some milliseconds late. Behind
-// one of its kind within this time it may be that, and then says nothing of the next command.
-constexpr Micros kSecondAnswer = 50 * kMillisecond;
+// A reset this soon after a send is taken for the answer to that send: the server had closed the
+// idle connection.
+constexpr Micros kStaleResetTime = 10 * kMillisecond;
+// A server may send an answer that carries no id twice, the second time some milliseconds late. One
+// that follows another within this time may be such a duplicate, and then it is not the answer to
+// the next command.
+constexpr Micros kDuplicateAnswerTime = 50 * kMillisecond;
 
 }  // namespace
 
@@ -26,7 +28,7 @@
       pool_(pool),
       fd_(std::move(fd)),
       codec_(ServerCodec::make(pool.protocol, side.fields_, side.rules_.cas_is_server_key)),
-      used_at_(side.clock_.now()) {
+      last_used_at_(side.clock_.now()) {
   read_.reset(event_new(side.base_, fd_.get(), EV_READ | EV_PERSIST, on_event, this));
   write_.reset(event_new(side.base_, fd_.get(), EV_WRITE, on_event, this));
 }
@@ -35,16 +37,16 @@
   auto* c = static_cast<ServerConnection*>(self);
   if (c->closed_) return;
   if (c->connecting_) {
-    c->connected(what);
+    c->on_connect_event(what);
     return;
   }
-  if (what & EV_WRITE) c->side_.touch(*c);
+  if (what & EV_WRITE) c->side_.schedule_flush(*c);
   if (what & EV_READ) c->read();
 }
 
-bool ServerConnection::forsaken() const {
-  return !pipe_ &&
-         std::none_of(entries_.begin(), entries_.end(), [](const Entry& e) { return e.live; });
+bool ServerConnection::is_abandoned() const {
+  return !pipe_ && std::none_of(pending_.begin(), pending_.end(),
+                                [](const PendingAttempt& e) { return e.awaited; });
 }
 
 void ServerConnection::await_connect() {
@@ -52,72 +54,75 @@
   event_add(write_.get(), &limit);
 }
 
-void ServerConnection::connected(short what) {
+void ServerConnection::on_connect_event(short what) {
   int error = 0;
   socklen_t size = sizeof error;
   ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
   if ((what & EV_TIMEOUT) || error != 0) {
-    side_.failed_dial(*this);
+    side_.on_dial_failed(*this);
     return;
   }
   connecting_ = false;
   event_add(read_.get(), nullptr);
-  side_.touch(*this);
+  side_.schedule_flush(*this);
 }
 
-std::size_t ServerConnection::may_write() const {
-  // Where servers may be configured for the wrong protocol, one attempt a connection is what that
-  // may cost: the others wait for the first answer, and go elsewhere unsent if it is none.
-  if (!side_.rules_.any() || pool_.proven) return entries_.size();
-  return std::min(entries_.size(), std::max<std::size_t>(1, sent_ + (partial_ > 0)));
+std::size_t ServerConnection::writable_count() const {
+  // If servers may be configured for the wrong protocol, each connection risks only one attempt:
+  // the others wait for the first answer, and go unsent to other servers if it is in the wrong
+  // protocol.
+  if (!side_.rules_.any() || pool_.proven) return pending_.size();
+  return std::min(pending_.size(), std::max<std::size_t>(1, written_count_ + (partial_bytes_ > 0)));
 }
 
-std::size_t ServerConnection::gather(std::size_t until, std::span<iovec> parts) const {
+std::size_t ServerConnection::gather_unwritten(std::size_t until, std::span<iovec> parts) const {
   constexpr std::size_t kPartsOfEntry = 3;
-  std::size_t count = 0, skip = partial_;
+  std::size_t count = 0, skip = partial_bytes_;
   auto add = [&](std::string_view bytes) {
     std::size_t from = std::min(skip, bytes.size());
     skip -= from;
     if (from == bytes.size()) return;
     parts[count++] = {const_cast<char*>(bytes.data()) + from, bytes.size() - from};
   };
-  for (std::size_t k = sent_; k < until && count + kPartsOfEntry <= parts.size(); ++k) {
-    add(entries_[k].bytes);
-    if (!entries_[k].value) continue;
-    add(*entries_[k].value);
-    add(entries_[k].tail);
+  for (std::size_t k = written_count_; k < until && count + kPartsOfEntry <= parts.size(); ++k) {
+    add(pending_[k].bytes);
+    if (!pending_[k].value) continue;
+    add(*pending_[k].value);
+    add(pending_[k].tail);
   }
   return count;
 }
 
-void ServerConnection::note_written(std::size_t bytes) {
-  partial_ += bytes;
-  while (sent_ < entries_.size() && partial_ >= entries_[sent_].size) {
-    Entry& e = entries_[sent_];
-    partial_ -= e.size;
+void ServerConnection::record_written(std::size_t bytes) {
+  partial_bytes_ += bytes;
+  while (written_count_ < pending_.size() &&
+         partial_bytes_ >= pending_[written_count_].encoded_size) {
+    PendingAttempt& e = pending_[written_count_];
+    partial_bytes_ -= e.encoded_size;
     std::string().swap(e.bytes);
     e.value.reset();
-    ++sent_;
+    ++written_count_;
     ++side_.counts_.written;
   }
 }
 
 void ServerConnection::flush() {
   if (connecting_) return;
-  // Right before anything is written: no queue outruns a list.
-  if (retiring_) side_.recall(*this);
-  if (doomed_ && entries_.empty()) {
+  // Checked right before each write, so that no attempt is written after a list has retired the
+  // connection.
+  if (retiring_) side_.withdraw_unwritten(*this);
+  if (close_on_flush_ && pending_.empty()) {
     side_.close(*this);
     return;
   }
-  while (sent_ < may_write()) {
+  while (written_count_ < writable_count()) {
     std::array<iovec, 64> parts;
     msghdr message{};
     message.msg_iov = parts.data();
-    message.msg_iovlen = gather(may_write(), parts);
+    message.msg_iovlen = gather_unwritten(writable_count(), parts);
     ssize_t put = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
     if (put >= 0) {
-      note_written(static_cast<std::size_t>(put));
+      record_written(static_cast<std::size_t>(put));
       continue;
     }
     if (errno == EINTR) continue;
@@ -129,18 +134,18 @@
   }
 }
 
-void ServerConnection::begin_pipe(ServerCodec::Answer& answer) {
+void ServerConnection::open_pipe(ServerCodec::Answer& answer) {
   ++side_.counts_.streamed_values;
-  ++side_.pipes_;
-  pipe_ = std::make_shared<ValuePipe>(answer.length, side_.pipe_window());
-  left_ = answer.length + 2;
+  ++side_.open_pipes_;
+  pipe_ = std::make_shared<ValuePipe>(answer.value_length, side_.pipe_window());
+  value_bytes_left_ = answer.value_length + 2;
   pipe_->on_room([this] { update_reading(); });
   answer.result.pipe = pipe_;
 }
 
-void ServerConnection::end_pipe(bool whole) {
+void ServerConnection::close_pipe(bool whole) {
   if (!pipe_) return;
-  --side_.pipes_;
+  --side_.open_pipes_;
   side_.counts_.broken_streams += !whole && !pipe_->abandoned();
   std::shared_ptr<ValuePipe> pipe = std::move(pipe_);
   pipe_.reset();
@@ -148,149 +153,151 @@
   whole ? pipe->finish() : pipe->fail();
 }
 
-bool ServerConnection::feed(std::string_view& in) {
-  std::size_t body = left_ > 2 ? std::min(in.size(), left_ - 2) : 0;
+bool ServerConnection::feed_pipe(std::string_view& in) {
+  std::size_t body = value_bytes_left_ > 2 ? std::min(in.size(), value_bytes_left_ - 2) : 0;
   if (body > 0) {
     pipe_->put(in.substr(0, body));
     in.remove_prefix(body);
-    left_ -= body;
+    value_bytes_left_ -= body;
   }
-  while (left_ > 0 && left_ <= 2 && !in.empty()) {
-    if (in.front() != (left_ == 2 ? '\r' : '\n')) {
-      spoilt();
+  while (value_bytes_left_ > 0 && value_bytes_left_ <= 2 && !in.empty()) {
+    if (in.front() != (value_bytes_left_ == 2 ? '\r' : '\n')) {
+      close_malformed();
       return false;
     }
     in.remove_prefix(1);
-    --left_;
+    --value_bytes_left_;
   }
-  if (left_ == 0) end_pipe(true), doomed_ = false;
+  if (value_bytes_left_ == 0) close_pipe(true), close_on_flush_ = false;
   update_reading();
   return !closed_;
 }
 
 void ServerConnection::update_reading() {
   if (closed_ || connecting_) return;
-  if (pipe_ && pipe_->abandoned() && entries_.empty()) {
-    doomed_ = true;  // by the reader's call, so not at once
-    side_.touch(*this);
+  if (pipe_ && pipe_->abandoned() && pending_.empty()) {
+    close_on_flush_ = true;  // the reader may be calling, so not from here
+    side_.schedule_flush(*this);
     return;
   }
   bool want = !pipe_ || pipe_->abandoned() || !pipe_->full();
   if (want == reading_) return;
   reading_ = want;
-  if (want) used_at_ = side_.clock_.now();  // its silence was ours
+  if (want) last_used_at_ = side_.clock_.now();  // the pause was caused by this side
   want ? event_add(read_.get(), nullptr) : event_del(read_.get());
 }
 
 void ServerConnection::read() {
-  std::size_t most = kScratch;
+  std::size_t most = kReadBufferBytes;
   if (pipe_) {
     pipe_->set_window(side_.pipe_window());
-    most = std::min(kScratch, pipe_->window());
+    most = std::min(kReadBufferBytes, pipe_->window());
   }
-  ssize_t got = ::recv(fd_.get(), side_.scratch_.get(), most, 0);
+  ssize_t got = ::recv(fd_.get(), side_.read_buffer_.get(), most, 0);
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
   if (got <= 0) {
-    end_read();
+    on_peer_close();
     return;
   }
-  used_at_ = side_.clock_.now();
-  std::string_view in(side_.scratch_.get(), static_cast<std::size_t>(got));
-  if (!std::exchange(heard_, true) && codec_->is_other_protocol(in.front())) {
-    side_.wrong_protocol(*this);
+  last_used_at_ = side_.clock_.now();
+  std::string_view in(side_.read_buffer_.get(), static_cast<std::size_t>(got));
+  if (!std::exchange(has_received_, true) && codec_->is_other_protocol(in.front())) {
+    side_.on_wrong_protocol(*this);
     return;
   }
-  if (!take_answers(in)) return;
-  // The beginning of something that nobody asked for: it would be read as part of the next
-  // answer.
-  if (!pipe_ && sent_ == 0 && codec_->in_answer()) {
-    spoilt();
+  if (!process_answers(in)) return;
+  // Part of an answer that no command has asked for: it would be taken as the start of the next
+  // one.
+  if (!pipe_ && written_count_ == 0 && codec_->in_answer()) {
+    close_malformed();
     return;
   }
-  if (entries_.empty() && !pipe_ && retiring_) side_.close(*this);
+  if (pending_.empty() && !pipe_ && retiring_) side_.close(*this);
 }
 
-void ServerConnection::end_read() {
+void ServerConnection::on_peer_close() {
   Micros now = side_.clock_.now();
-  if (entries_.empty()) {
+  if (pending_.empty()) {
     ++side_.counts_.ended_idle;
   } else {
     ++side_.counts_.ended_busy;
-    bool stale = idle_before_ > 0 && sent_ == entries_.size() && sent_ == 1 &&
-                 !codec_->in_answer() && now - used_at_ < kStaleReset;
-    if (stale) pool_.note_idle_reset(idle_before_, now);
+    bool stale = idle_before_use_ > 0 && written_count_ == pending_.size() && written_count_ == 1 &&
+                 !codec_->in_answer() && now - last_used_at_ < kStaleResetTime;
+    if (stale) pool_.record_idle_reset(idle_before_use_, now);
   }
   side_.close(*this);
 }
 
-bool ServerConnection::take_answers(std::string_view in) {
+bool ServerConnection::process_answers(std::string_view in) {
   ServerCodec::Answer answer;
   while (!closed_) {
     if (pipe_) {
-      if (!feed(in)) return false;
+      if (!feed_pipe(in)) return false;
       if (pipe_) break;
     }
-    ServerCodec::Got what =
-        codec_->take(in, sent_ > 0 ? &entries_.front().expected : nullptr, answer);
-    if (what == ServerCodec::Got::Nothing) break;
-    // Garbage, and answers nobody asked for, say that the two sides no longer agree on what
-    // belongs to what: nothing more from this connection may be believed.
-    if (what == ServerCodec::Got::Broken) {
-      spoilt();
+    ServerCodec::Parsed what =
+        codec_->parse(in, written_count_ > 0 ? &pending_.front().expected : nullptr, answer);
+    if (what == ServerCodec::Parsed::Incomplete) break;
+    // After malformed or unsolicited bytes the two sides no longer agree on which answer belongs to
+    // which command, so nothing more from this connection can be trusted.
+    if (what == ServerCodec::Parsed::Invalid) {
+      close_malformed();
       return false;
     }
-    if (!take_answer(answer, what == ServerCodec::Got::Begin)) return false;
+    if (!process_answer(answer, what == ServerCodec::Parsed::ValueStart)) return false;
   }
   return !closed_;
 }
 
-bool ServerConnection::take_answer(ServerCodec::Answer& answer, bool begins_value) {
-  bool last = answer.last;
-  // A server whose table is full takes the connection, says so once and ends it.
-  if (std::exchange(answered_, true)) {
-    pool_.answered_at = used_at_;
+bool ServerConnection::process_answer(ServerCodec::Answer& answer, bool begins_value) {
+  bool last = answer.framing_lost;
+  // A server at its connection limit accepts the connection, rejects the first command and closes.
+  if (std::exchange(has_answered_, true)) {
+    pool_.reused_answer_at = last_used_at_;
   } else {
-    bool no_room = answer.status == Status::Full && ended();
-    if (no_room) answer.status = Status::NoRoom;
-    side_.note_dial(pool_, no_room);
+    bool at_connection_limit = answer.status == Status::Full && has_closed_or_sent();
+    if (at_connection_limit) answer.status = Status::NoRoom;
+    side_.record_dial(pool_, at_connection_limit);
   }
   if (!last && !std::exchange(pool_.proven, true))
-    for (auto& c : pool_.connections) side_.touch(*c);
-  if (repeats_unnamed(answer)) {
-    spoilt();
+    for (auto& c : pool_.connections) side_.schedule_flush(*c);
+  if (may_be_duplicate(answer)) {
+    close_malformed();
     return false;
   }
-  Entry done = std::move(entries_.front());
-  entries_.pop_front();
-  --sent_;
+  PendingAttempt done = std::move(pending_.front());
+  pending_.pop_front();
+  --written_count_;
   pool_.budget.answered();
-  if (begins_value) begin_pipe(answer);
-  if (done.live)
+  if (begins_value) open_pipe(answer);
+  if (done.awaited)
     side_.handler_.on_attempt_end(done.id, done.attempt, answer.status, std::move(answer.result));
   else
     ++side_.counts_.late_answers;
   answer.result.pipe.reset();
-  // Nobody wanted it: a copy had answered before.
+  // The handler did not take the value: another attempt had answered before.
   if (pipe_ && pipe_.use_count() == 1) pipe_->abandon();
   if (!last) return true;
   side_.close(*this, Status::Spoilt);
   return false;
 }
 
-bool ServerConnection::repeats_unnamed(const ServerCodec::Answer& answer) {
-  if (answer.named) return false;
-  // Believed, "busy" would let a write run twice that may run once. Reads can take it as it is.
-  bool again = unnamed_at_ > 0 && used_at_ - unnamed_at_ < kSecondAnswer;
-  unnamed_at_ = used_at_;
-  return again && entries_.front().expected.write;
+bool ServerConnection::may_be_duplicate(const ServerCodec::Answer& answer) {
+  if (answer.identified) return false;
+  // Taking a duplicate "busy" for the answer to a write would allow that write to run twice. For
+  // reads this is harmless.
+  bool again =
+      unidentified_answer_at_ > 0 && last_used_at_ - unidentified_answer_at_ < kDuplicateAnswerTime;
+  unidentified_answer_at_ = last_used_at_;
+  return again && pending_.front().expected.write;
 }
 
-void ServerConnection::spoilt() {
+void ServerConnection::close_malformed() {
   ++side_.counts_.malformed_answers;
   side_.close(*this, Status::Spoilt);
 }
 
-bool ServerConnection::ended() const {
+bool ServerConnection::has_closed_or_sent() const {
   char byte;
   ssize_t got = ::recv(fd_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to a cache server: its dial, the attempts in the order of their answers, and the
-// large value that comes now.
+// One connection to a cache server: its dial, its pipelined attempts, and the large value that is
+// being streamed.
 #pragma once
 
 #include <sys/uio.h>
@@ -19,93 +19,96 @@
 class ServerSide;
 struct ServerPool;
 
-/// Its state is the server side's as well, which picks, closes and recalls by it.
+/// Members are public because ServerSide picks connections, closes them and withdraws attempts by
+/// this state.
 class ServerConnection {
  public:
-  static constexpr std::size_t kScratch = 64u << 10;  ///< of one read
+  static constexpr std::size_t kReadBufferBytes = 64u << 10;  ///< read at most at once
 
-  /// An attempt on the connection.
-  struct Entry {
+  /// An attempt that is queued or waits for its answer.
+  struct PendingAttempt {
     RequestId id;
     int attempt;
-    bool live = true;   // somebody waits for it
-    Expected expected;  // what its answer must bear
-    std::string bytes;  // the command, its value too unless it is large
+    bool awaited = true;  // false once abandoned: its answer is dropped
+    ExpectedAnswer expected;
+    std::string bytes;  // the command, with its value unless that is large
     std::shared_ptr<const std::string> value;
     std::string_view tail;
-    std::size_t size;  // of the three, which are freed once written
-    Micros since;      // queued, then abandoned
+    std::size_t encoded_size;  // of bytes, value and tail, which are freed once written
+    Micros since;              // when it was queued; once abandoned, when that happened
   };
 
   ServerConnection(ServerSide& side, ServerPool& pool, Fd fd);
 
   static void on_event(evutil_socket_t, short what, void* self);
 
-  ~ServerConnection() { end_pipe(false); }
+  ~ServerConnection() { close_pipe(false); }
 
-  bool idle() const { return !connecting_ && entries_.empty() && !pipe_; }
-  /// Nobody waits for anything on it.
-  bool forsaken() const;
+  bool idle() const { return !connecting_ && pending_.empty() && !pipe_; }
+  /// No client waits for any attempt or value on it.
+  bool is_abandoned() const;
 
   void await_connect();
 
-  void connected(short what);
+  void on_connect_event(short what);
 
-  /// Writes what may be written now.
+  /// Writes the attempts that may be written now.
   void flush();
 
-  /// Entries up to this one may be written.
-  std::size_t may_write() const;
-  /// The unwritten bytes of the entries up to `until`, as many as fit in; the number of parts.
-  std::size_t gather(std::size_t until, std::span<iovec> parts) const;
-  void note_written(std::size_t bytes);
-  void begin_pipe(ServerCodec::Answer& answer);
+  /// How many of the pending attempts, from the front, may be written.
+  std::size_t writable_count() const;
+  /// Fills `parts` with unwritten bytes of the attempts before `until`, as far as they fit; returns
+  /// the number of parts.
+  std::size_t gather_unwritten(std::size_t until, std::span<iovec> parts) const;
+  void record_written(std::size_t bytes);
+  void open_pipe(ServerCodec::Answer& answer);
 
-  /// What is left of the value comes no more, or is all there.
-  void end_pipe(bool whole);
+  /// Ends the value's pipe: `whole` if all of the value has been received, else as failed.
+  void close_pipe(bool whole);
 
-  /// Takes the value's part from `in`; false where the connection is closed with that.
-  bool feed(std::string_view& in);
+  /// Moves bytes of the value from `in` to the pipe; false if that closed the connection.
+  bool feed_pipe(std::string_view& in);
 
-  /// The value's reader sets the pace. A value that nobody reads any more is read to its end where
-  /// others wait behind it, and else costs the connection.
+  /// Stops reading from the server while the value's reader is behind. A value without a reader is
+  /// read to its end if other attempts wait behind it; otherwise the connection is closed.
   void update_reading();
 
   void read();
-  /// The peer has ended or broken the connection.
-  void end_read();
-  /// False where the connection is closed with that, as below.
-  bool take_answers(std::string_view in);
-  bool take_answer(ServerCodec::Answer& answer, bool begins_value);
-  /// An answer that names no command, right behind another such: it may be that one's second copy.
-  bool repeats_unnamed(const ServerCodec::Answer& answer);
+  /// The server has closed or reset the connection.
+  void on_peer_close();
+  /// This and process_answer() return false if the connection was closed.
+  bool process_answers(std::string_view in);
+  bool process_answer(ServerCodec::Answer& answer, bool begins_value);
+  /// True for a write's answer that carries no id and follows another such answer so closely that
+  /// it may be a duplicate of it.
+  bool may_be_duplicate(const ServerCodec::Answer& answer);
 
-  void spoilt();
+  void close_malformed();
 
-  /// True when the peer has ended or broken the connection, or said something unasked.
-  bool ended() const;
+  /// True if the server has closed or reset the connection, or sent bytes that were not asked for.
+  bool has_closed_or_sent() const;
 
   ServerSide& side_;
   ServerPool& pool_;
   Fd fd_;
   EventPtr read_, write_;
   std::unique_ptr<ServerCodec> codec_;
-  std::shared_ptr<ValuePipe> pipe_;  // the large value that comes now
-  std::size_t left_ = 0;             // bytes of it and of its CRLF that are to come
+  std::shared_ptr<ValuePipe> pipe_;   // the large value being received
+  std::size_t value_bytes_left_ = 0;  // of the value and its CRLF, still to be received
   bool reading_ = true;
-  bool doomed_ = false;        // to be closed in the next flush
-  bool heard_ = false;         // bytes have come on it
-  bool answered_ = false;      // an answer has come on it
-  Micros unnamed_at_ = 0;      // the last answer that named no command; 0: none
-  std::deque<Entry> entries_;  // in the order of their answers
-  std::size_t sent_ = 0;       // of them, written whole
-  std::size_t partial_ = 0;    // bytes of the next one that are written
+  bool close_on_flush_ = false;         // close in the next flush if no attempt is pending
+  bool has_received_ = false;           // any bytes
+  bool has_answered_ = false;           // a complete answer
+  Micros unidentified_answer_at_ = 0;   // last answer without an id; 0: none
+  std::deque<PendingAttempt> pending_;  // in the order of their answers
+  std::size_t written_count_ = 0;       // of pending_, from the front: completely written
+  std::size_t partial_bytes_ = 0;       // written of the attempt after those
   bool connecting_ = true;
-  bool retiring_ = false;  // nothing new; closes when its answers have come
-  bool dirty_ = false;
+  bool retiring_ = false;  // takes no new attempts; closes after its last answer
+  bool flush_pending_ = false;
   bool closed_ = false;
-  Micros used_at_;
-  Micros idle_before_ = 0;  // how long it was idle before its last use; 0 for a new one
+  Micros last_used_at_;
+  Micros idle_before_use_ = 0;  // idle time before its last use; 0 for a new connection
 };
 
 }  // namespace arrowfork
--- a/src/net/server_pool.hpp
+++ b/src/net/server_pool.hpp
@@ -1,4 +1,4 @@
-// What is kept of one cache server: where it is, whether it wants anything new, its connections.
+// The state of one cache server: its address, whether it takes new attempts, its connections.
 #pragma once
 
 #include <netinet/in.h>
@@ -25,22 +25,22 @@
   std::string dial;
   std::optional<sockaddr_in> address;
   ServerProtocol protocol = ServerProtocol::Meta;
-  bool proven = false;  // the last connection to begin an answer did so in that protocol
-  Micros complained_at = 0;
-  bool listed = false;  // named by discovery and not gone
-  bool wanted = false;  // listed and ready, and nobody newer at its address
-  double weight = 1;    // as listed
-  Micros born = 0;
+  bool proven = false;  // the last connection that got an answer got it in this protocol
+  Micros wrong_protocol_logged_at = 0;
+  bool listed = false;  // by discovery, and not gone
+  bool usable = false;  // listed, ready, and no newer server at its address
+  double weight = 1;    // from the list
+  Micros started_at = 0;
   Micros no_dial_until = 0;
-  Micros answered_at = 0;  // on a connection that had answered before
-  Micros idle_limit = 0;   // a connection idle for longer is not used again
+  Micros reused_answer_at = 0;  // last answer on a connection that had answered before
+  Micros idle_limit = 0;        // connections idle for longer are closed
   Micros idle_reset_at = 0;
-  std::uint64_t given_up = 0;  // attempts, since the last line of the log
+  std::uint64_t abandoned_attempts = 0;  // since the last log line
   robinseam::limits::ConnectionBudget budget{0};
   std::vector<std::unique_ptr<ServerConnection>> connections;
 
-  /// A command written after `span` of idleness was answered with a reset.
-  void note_idle_reset(Micros span, Micros now);
+  /// Records that a command written after an idle time of `span` was answered with a reset.
+  void record_idle_reset(Micros span, Micros now);
 };
 
 }  // namespace arrowfork
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -87,11 +87,11 @@
   const Counts& counts() const { return counts_; }
 
   void flush();
-  bool dirty() const { return !dirty_.empty(); }
-  std::size_t connections() const { return total_; }
+  bool dirty() const { return !flush_queue_.empty(); }
+  std::size_t connections() const { return connection_count_; }
   std::size_t idle_connections() const;
   /// The part of the idle time by the settings that dials leave, 0 to 1.
-  double idle_time_fraction() const { return idle_.part(clock_.now()); }
+  double idle_time_fraction() const { return idle_timeout_.part(clock_.now()); }
   /// Where a server that wants anything new is reached; empty for any other.
   std::string address_of(const std::string& server) const;
   /// The server at which most attempts were given up since the last call, and how many.
@@ -103,11 +103,11 @@
   friend class ServerConnection;
   static void on_sweep(evutil_socket_t, short, void* self);
   void sweep();
-  void forget_gone();
-  void recall(ServerConnection& c);
+  void remove_unlisted();
+  void withdraw_unwritten(ServerConnection& c);
   void set_protocol(ServerPool& pool);
-  void note_binary();
-  void wrong_protocol(ServerConnection& connection);
+  void update_any_binary();
+  void on_wrong_protocol(ServerConnection& connection);
   /// What one large value may hold of the memory, with so many on their way.
   std::size_t pipe_window() const;
   /// How long a connection may stand idle as far as the settings tell.
@@ -115,20 +115,20 @@
   /// The same at this server now, by what the tier can hold there and by what the server does.
   Micros idle_limit(const ServerPool& pool, Micros now) const;
   ServerConnection* pick(ServerPool& pool);
-  robinseam::limits::ConnectionBudget fresh_budget() const;
-  bool may_close(ServerConnection& connection);
+  robinseam::limits::ConnectionBudget make_close_budget() const;
+  bool try_spend_close(ServerConnection& connection);
   /// Whether the budgets allow the pool one more connection; closes one that is not missed for it.
-  bool make_room(ServerPool& pool);
-  void spare_of(const ServerPool& pool, ServerConnection*& spare) const;
+  bool free_connection_slot(ServerPool& pool);
+  void find_spare(const ServerPool& pool, ServerConnection*& spare) const;
   /// Where one more attempt has the fewest before it; null where none may share.
   ServerConnection* least_loaded(const ServerPool& pool, bool established) const;
   ServerConnection* dial(ServerPool& pool);
-  void touch(ServerConnection& connection);
+  void schedule_flush(ServerConnection& connection);
   /// Ends the connection; every attempt on it gets its outcome, those written whole `written`.
   void close(ServerConnection& connection, Status written = Status::Reset);
-  void failed_dial(ServerConnection& connection);
+  void on_dial_failed(ServerConnection& connection);
   /// A server has answered a dial: it had room for it, or it is well and had not.
-  void note_dial(ServerPool& pool, bool no_room);
+  void record_dial(ServerPool& pool, bool at_connection_limit);
 
   event_base* base_;
   const TimeSource& clock_;
@@ -139,15 +139,15 @@
   bool any_binary_ = false;  // a listed server speaks the binary protocol
   EventPtr sweep_event_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
-  std::size_t total_ = 0;
-  robinseam::limits::IdleTime idle_;
-  double weight_ = 0;         // of the wanted servers
-  std::uint32_t opaque_ = 0;  // of the last attempt
-  std::size_t pipes_ = 0;     // large values on their way
+  std::size_t connection_count_ = 0;
+  robinseam::limits::IdleTime idle_timeout_;
+  double total_weight_ = 0;     // of the wanted servers
+  std::uint32_t opaque_ = 0;    // of the last attempt
+  std::size_t open_pipes_ = 0;  // large values on their way
   Counts counts_;
   std::vector<std::unique_ptr<ServerConnection>> closed_;
-  std::vector<ServerConnection*> dirty_;
-  std::unique_ptr<char[]> scratch_;
+  std::vector<ServerConnection*> flush_queue_;
+  std::unique_ptr<char[]> read_buffer_;
 };
 
 }  // namespace arrowfork
