--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -180,11 +180,11 @@
     side_.schedule_flush(*this);
     return;
   }
-  bool want = !pipe_ || pipe_->abandoned() || !pipe_->full();
-  if (want == reading_) return;
-  reading_ = want;
-  if (want) last_used_at_ = side_.clock_.now();  // the pause was caused by this side
-  want ? event_add(read_.get(), nullptr) : event_del(read_.get());
+  bool wants_bytes = !pipe_ || pipe_->abandoned() || !pipe_->full();
+  if (wants_bytes == reading_) return;
+  reading_ = wants_bytes;
+  if (wants_bytes) last_used_at_ = side_.clock_.now();  // the pause was caused by this side
+  wants_bytes ? event_add(read_.get(), nullptr) : event_del(read_.get());
 }
 
 void ServerConnection::read() {
@@ -235,22 +235,22 @@
       if (!feed_pipe(in)) return false;
       if (pipe_) break;
     }
-    ServerCodec::Parsed what =
+    ServerCodec::Parsed parsed =
         codec_->parse(in, written_count_ > 0 ? &pending_.front().expected : nullptr, answer);
-    if (what == ServerCodec::Parsed::Incomplete) break;
+    if (parsed == ServerCodec::Parsed::Incomplete) break;
     // After malformed or unsolicited bytes the two sides no longer agree on which answer belongs to
     // which command, so nothing more from this connection can be trusted.
-    if (what == ServerCodec::Parsed::Invalid) {
+    if (parsed == ServerCodec::Parsed::Invalid) {
       close_malformed();
       return false;
     }
-    if (!process_answer(answer, what == ServerCodec::Parsed::ValueStart)) return false;
+    if (!process_answer(answer, parsed == ServerCodec::Parsed::ValueStart)) return false;
   }
   return !closed_;
 }
 
 bool ServerConnection::process_answer(ServerCodec::Answer& answer, bool begins_value) {
-  bool last = answer.framing_lost;
+  bool framing_lost = answer.framing_lost;
   // A server at its connection limit accepts the connection, rejects the first command and closes.
   if (std::exchange(has_answered_, true)) {
     pool_.reused_answer_at = last_used_at_;
@@ -259,7 +259,7 @@
     if (at_connection_limit) answer.status = Status::NoRoom;
     side_.record_dial(pool_, at_connection_limit);
   }
-  if (!last && !std::exchange(pool_.proven, true))
+  if (!framing_lost && !std::exchange(pool_.proven, true))
     for (auto& c : pool_.connections) side_.schedule_flush(*c);
   if (may_be_duplicate(answer)) {
     close_malformed();
@@ -277,7 +277,7 @@
   answer.result.pipe.reset();
   // The handler did not take the value: another attempt had answered before.
   if (pipe_ && pipe_.use_count() == 1) pipe_->abandon();
-  if (!last) return true;
+  if (!framing_lost) return true;
   side_.close(*this, Status::Spoilt);
   return false;
 }
@@ -286,10 +286,10 @@
   if (answer.identified) return false;
   // Taking a duplicate "busy" for the answer to a write would allow that write to run twice. For
   // reads this is harmless.
-  bool again =
+  bool follows_closely =
       unidentified_answer_at_ > 0 && last_used_at_ - unidentified_answer_at_ < kDuplicateAnswerTime;
   unidentified_answer_at_ = last_used_at_;
-  return again && pending_.front().expected.write;
+  return follows_closely && pending_.front().expected.write;
 }
 
 void ServerConnection::close_malformed() {
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -14,32 +14,34 @@
 namespace arrowfork {
 namespace {
 
-// An idle connection is closed after this part of the time after which the server does it: a
-// command that crosses the server's close ends as a reset, and nobody can tell whether it ran.
+// Idle connections are closed after this share of the server's own idle timeout: a command that
+// crosses the server's close ends as a reset, and then nobody can tell whether it ran.
 constexpr double kIdleTimeoutShare = 0.6;
-// The bound on the idle time that resets set (ServerPool) doubles this often.
+// The idle limit that resets have lowered (ServerPool) doubles once in this time.
 constexpr Micros kIdleLimitDoublingTime = 10 * kSecond;
-// An abandoned attempt's answer is waited for this long, so that its connection can be used again;
-// after that the machine is taken for silent.
+// The answer to an abandoned attempt is awaited for this long, so that its connection can be used
+// again; after that the server is taken to be unresponsive.
 constexpr Micros kAbandonedAnswerTime = kSecond;
-// No dial to a server that just refused one while it has connections that work.
+// After a failed or rejected dial to a server that has other connections, no further one is made
+// for this time.
 constexpr Micros kDialPause = kSecond / 5;
-// An answer that has come in part and then stops for this long will not come: servers pause 0.1 s
-// at most. Ending the attempt then, and not at the client's deadline, leaves time for another.
+// A partly received answer that stalls for this long is taken as broken off: servers pause for 0.1
+// s at most. Ending the attempt then, instead of at the client's deadline, leaves time for another.
 constexpr Micros kAnswerPauseTime = 120 * kMillisecond;
-// The same where what has come ends as a value does, only short of its length: then the length is
-// wrong. Harm: a value that holds a line end just where the server paused runs twice.
+// The same if the bytes received end with a line end, as a complete value does: then the announced
+// length is probably wrong. The price: if the server pauses right after a line end inside a value,
+// the request runs twice.
 constexpr Micros kShortValuePauseTime = 20 * kMillisecond;
 constexpr Micros kSweepInterval = kSecond / 40;
-// Of a large value that is passed on, the server gave nothing for this long: it will not end.
+// A large value of which the server sends nothing for this long is abandoned.
 constexpr Micros kPipeSilenceTime = 5 * kSecond;
-// What one large value holds at least and at most; its writer may go over it by one read.
+// Buffer bounds of one large value; one read may exceed them.
 constexpr std::size_t kMinPipeWindowBytes = 8u << 10, kMaxPipeWindowBytes = 64u << 10;
-// A server of the wrong protocol is told of this often.
+// At most one log line in this time about a server that speaks the wrong protocol.
 constexpr Micros kWrongProtocolLogInterval = 10 * kSecond;
 
-/// Whether `one` replaces `other` at the address that both have. Where neither says that it was
-/// started later, one that is to be used; the ids decide else, so that each list means one thing.
+/// Whether `one` replaces `other` at the address that both have: the one started later, else the
+/// one that is usable, else the one with the greater id, so that every list has one interpretation.
 bool supersedes(const ServerPool& one, const ServerPool& other) {
   return std::tie(one.started_at, one.usable, one.id) >
          std::tie(other.started_at, other.usable, other.id);
@@ -79,8 +81,8 @@
   return !any_binary_ || (rules_.cas_is_server_key && is_representable_as_cas(request.idempotency));
 }
 
-/// What is out on a connection of the protocol that is no more spoken there would only be lost a
-/// little later.
+/// A change of protocol closes the server's connections: the attempts in flight on them would fail
+/// a little later anyway.
 void ServerSide::set_protocol(ServerPool& pool) {
   robinseam::Server server;
   server.id = pool.id;
@@ -94,8 +96,8 @@
   while (!pool.connections.empty()) close(*pool.connections.back());
 }
 
-/// Only the connection's first bytes are taken for that. Once from a server that has spoken the
-/// right protocol it may be noise like any other, so that is not told.
+/// Called only for the first bytes of a connection. If the server has spoken the right protocol
+/// before, one such event may be noise, so it is not logged.
 void ServerSide::on_wrong_protocol(ServerConnection& c) {
   ++counts_.wrong_protocol;
   ServerPool& pool = c.pool_;
@@ -131,7 +133,7 @@
     ServerPool& pool = *it->second;
     if (!gone) pool.kind = host.server.kind, pool.weight = host.server.weight;
     set_protocol(pool);
-    // Another process, or another place: what is open leads to the old one.
+    // Another process or another address: the open connections lead to the old one.
     bool moved = !gone && (pool.dial != host.dial || pool.started_at != host.server.up_since);
     if (moved) {
       pool.dial = host.dial;
@@ -143,15 +145,15 @@
       pool.proven = false;
       for (auto& c : pool.connections) {
         c->retiring_ = true;
-        withdraw_unwritten(*c);  // what waits there was meant for the place that is left
+        withdraw_unwritten(*c);  // its unwritten attempts were meant for the old server
       }
     }
     pool.listed = !gone;
     pool.usable = host.server.health == robinseam::Health::Ready;
   }
-  // A machine that replaces another may have its address before the list tells that the other is
-  // gone. What is meant for the old one must not reach the new one: it is cold, and its part of the
-  // traffic is dealt out under its own id.
+  // A server that replaces another may be listed at its address before the list says that the other
+  // is gone. Attempts for the old one must not reach the new one: it is cold, and traffic is
+  // assigned to it under its own id.
   std::unordered_map<std::string_view, ServerPool*> newest;
   for (auto& [id, pool] : pools_) {
     if (!pool->listed) continue;
@@ -176,8 +178,8 @@
   remove_unlisted();
 }
 
-/// Nothing new goes to a server that is told to leave: what waits behind a dial or for the socket's
-/// buffer, no byte of it written, goes elsewhere. Its grace is for what was on its way.
+/// No new attempt may reach a server that drains: those of which no byte is written yet, behind a
+/// dial or a full socket buffer, are sent elsewhere. The drain grace is for attempts on their way.
 void ServerSide::withdraw_unwritten(ServerConnection& c) {
   std::size_t begun = c.written_count_ + (c.partial_bytes_ > 0);
   while (c.pending_.size() > begun) {
@@ -188,8 +190,8 @@
   }
 }
 
-/// Servers that have left are forgotten once nothing is out there, whether a whole list or a change
-/// told of it: ids are ever new.
+/// Removes servers that are unlisted and have no connections, whether a full list or a change said
+/// so. Ids are always new, so the pools would grow without limit otherwise.
 void ServerSide::remove_unlisted() {
   std::erase_if(pools_, [](const auto& entry) {
     return !entry.second->listed && entry.second->connections.empty();
@@ -223,9 +225,9 @@
   return best;
 }
 
-/// The connection for one more attempt: an idle one that was used last, else a new one, else the
-/// one with the least before it. Answers come in order, so waiting behind another costs its whole
-/// service time; a dial costs a round trip or two.
+/// Chooses the connection for one more attempt: the idle one that was used last, else a new one,
+/// else the one with the fewest pending attempts. Answers come in order, so waiting behind another
+/// attempt costs its whole service time; a dial costs a round trip or two.
 ServerConnection* ServerSide::pick(ServerPool& pool) {
   Micros now = clock_.now();
   while (true) {
@@ -239,7 +241,7 @@
       close(*idle);
       continue;
     }
-    // An end, or bytes that belong to nothing, may have come since the last turn of the loop.
+    // The server may have closed it, or sent unsolicited bytes, since the last loop iteration.
     if (!idle->has_closed_or_sent()) return idle;
     ++counts_.ended_idle;
     close(*idle);
@@ -258,19 +260,20 @@
       static_cast<double>(limits_.max_connections_per_server));
 }
 
-/// For a connection that others could use once what is out on it is answered: its server pays for
-/// the next one. What is idle costs no more to close now than by the sweep.
+/// A connection with answers outstanding could be used again once they have come, so closing it
+/// spends from the close budget that the server's answers fill. Closing an idle one is free: the
+/// sweep would close it anyway.
 bool ServerSide::try_spend_close(ServerConnection& c) {
   if (c.idle() || c.pool_.budget.may_close(clock_.now())) return true;
   ++counts_.kept_open;
   return false;
 }
 
-/// The budget of connections is shared by all servers. Each wanted one that has no connection keeps
-/// room for one, so that a few slow servers can't take everything; where there are more of them
-/// than connections, they keep half of those. What stands idle is such room, since it makes way for
-/// them, then what only waits for answers that nobody wants any more: when a server or the origin
-/// jams, those come by the hundred, and each would hold its connection for kAbandonedAnswerTime.
+/// All servers share one connection limit. Each usable server without a connection has a slot
+/// reserved, so that a few slow servers can't take them all; if there are more such servers than
+/// connections, half of the connections are reserved. Idle connections count as free slots, since
+/// they are closed when needed, and so do abandoned ones: during an overload of a server or the
+/// origin these come by the hundred, and each would keep its connection for kAbandonedAnswerTime.
 bool ServerSide::free_connection_slot(ServerPool& pool) {
   if (pool.connections.size() >= limits_.max_connections_per_server) {
     ServerConnection* spare = nullptr;
@@ -280,14 +283,15 @@
     close(*spare);
   }
   if (!pool.connections.empty()) {
-    std::size_t kept = 0, used = 0;
+    std::size_t reserved = 0, used = 0;
     for (auto& [id, other] : pools_) {
-      kept += other->usable && other->connections.empty();
+      reserved += other->usable && other->connections.empty();
       used += static_cast<std::size_t>(
           std::count_if(other->connections.begin(), other->connections.end(),
                         [](const auto& c) { return c->connecting_ || !c->is_abandoned(); }));
     }
-    if (used + std::min(kept, limits_.max_connections / 2) >= limits_.max_connections) return false;
+    if (used + std::min(reserved, limits_.max_connections / 2) >= limits_.max_connections)
+      return false;
   }
   while (connection_count_ >= limits_.max_connections) {
     ServerConnection* spare = nullptr;
@@ -299,7 +303,8 @@
   return true;
 }
 
-/// Puts the pool's connection that is missed least into `spare`, if it is missed less than that.
+/// Replaces `spare` if the pool has a better connection to close: an idle one before one that is
+/// only abandoned, then the one unused for longest.
 void ServerSide::find_spare(const ServerPool& pool, ServerConnection*& spare) const {
   for (auto& c : pool.connections) {
     if (c->connecting_ || !c->is_abandoned()) continue;
@@ -313,14 +318,15 @@
                       Micros wait) {
   auto it = pools_.find(server);
   bool usable = it != pools_.end() && it->second->usable;
-  // Taken when all servers kept its key; this one joined since and would not know a repeat.
+  // The request was accepted when all servers kept idempotency keys; this server has joined since
+  // and would not detect a repeated write.
   if (usable && request.keyed && it->second->protocol == ServerProtocol::Binary)
     usable = keeps_key(request);
   ServerConnection* c = usable ? pick(*it->second) : nullptr;
   if (!c) {
     ++counts_.no_connection;
-    // All of the pool's connections wait for answers that nobody wants, and no more may be closed:
-    // that is our own shortage and proves nothing of the server.
+    // All connections of the pool wait for abandoned answers and the close budget allows no close:
+    // that is this router's own limit and says nothing about the server.
     bool own_limit =
         usable && !it->second->connections.empty() && clock_.now() >= it->second->no_dial_until;
     handler_.on_attempt_end(id, attempt, own_limit ? Status::Moot : Status::ConnectFailed,
@@ -406,15 +412,15 @@
       e.awaited = false;
       e.since = clock_.now();
       ++it->second->abandoned_attempts;
-      // Partly written: finishing it would send the request after its end.
+      // Partly written: completing it would send a request that has already ended.
       if (k >= c.written_count_) {
         close(c);
         return Status::Moot;
       }
-      // Closing is what tells the server: it may drop what still waits in its queue, where given-up
-      // work would keep out others when it jams. The price is a dial, so only as far as answers pay
-      // for it. Beyond, and where neighbours would be taken along, the answer is read and dropped
-      // when it comes.
+      // Closing tells the server to drop the attempt if it is still queued there; during an
+      // overload abandoned work would otherwise keep new work out. The price is a dial, so the
+      // close budget limits it. Without budget, or with other attempts on the connection, the
+      // answer is read and dropped when it comes.
       if (limits_.may_cancel && c.is_abandoned() && try_spend_close(c)) close(c);
       return Status::Cancelled;
     }
@@ -458,16 +464,16 @@
   pool.no_dial_until = now + kDialPause;
 }
 
-/// A full connection table refuses new connections while those that are open work: what waited for
-/// the dial goes behind others then. Where none is left but one has answered since, the server is
-/// well and has no room; else it can't be reached.
+/// A server with a full connection table refuses new connections while its open ones work: attempts
+/// that waited for the dial are queued on those. If there is none, but one has answered within the
+/// dial timeout, the server is healthy and at its connection limit; otherwise it is unreachable.
 void ServerSide::on_dial_failed(ServerConnection& c) {
   ++counts_.failed_dials;
   c.pool_.no_dial_until = clock_.now() + kDialPause;
-  // At an immediate refusal the time for a dial is what a server may have been silent for.
-  bool well = c.pool_.reused_answer_at > 0 &&
-              clock_.now() - c.pool_.reused_answer_at <= limits_.dial_timeout;
-  if (well) record_dial(c.pool_, true);
+  // A refusal may come at once, so the last answer may be as old as a dial may take.
+  bool healthy = c.pool_.reused_answer_at > 0 &&
+                 clock_.now() - c.pool_.reused_answer_at <= limits_.dial_timeout;
+  if (healthy) record_dial(c.pool_, true);
   std::deque<ServerConnection::PendingAttempt> waiting = std::move(c.pending_);
   c.pending_.clear();
   ServerPool& pool = c.pool_;
@@ -476,7 +482,7 @@
     ServerConnection* other = least_loaded(pool, true);
     if (!other) {
       if (e.awaited)
-        handler_.on_attempt_end(e.id, e.attempt, well ? Status::NoRoom : Status::ConnectFailed,
+        handler_.on_attempt_end(e.id, e.attempt, healthy ? Status::NoRoom : Status::ConnectFailed,
                                 AttemptResult());
       continue;
     }
@@ -507,7 +513,7 @@
 }
 
 std::size_t ServerSide::pipe_window() const {
-  // Each window counts twice: here and in what the client's connection has taken of it.
+  // Each window counts twice: here, and in the client connection's output buffer.
   return std::clamp(limits_.streaming_buffer_bytes / 2 / std::max<std::size_t>(1, open_pipes_),
                     kMinPipeWindowBytes, kMaxPipeWindowBytes);
 }
@@ -531,7 +537,7 @@
     pool->idle_limit =
         std::min(idle_limit(),
                  pool->idle_limit + pool->idle_limit * kSweepInterval / kIdleLimitDoublingTime + 1);
-    Micros most = idle_limit(*pool, now);
+    Micros timeout = idle_limit(*pool, now);
     for (std::size_t k = pool->connections.size(); k-- > 0;) {
       ServerConnection& c = *pool->connections[k];
       if (c.connecting_) continue;
@@ -541,11 +547,11 @@
         continue;
       }
       if (c.pending_.empty()) {
-        if (c.retiring_ || now - c.last_used_at_ > most) ++counts_.closed_idle, close(c);
+        if (c.retiring_ || now - c.last_used_at_ > timeout) ++counts_.closed_idle, close(c);
         continue;
       }
-      // What a full socket buffer has kept back this long was never sent, and must not go out when
-      // the server may have begun to drain since.
+      // An attempt that a full socket buffer has held back for this long has not been sent, and
+      // must not be sent now: the server may have started to drain since.
       while (c.pending_.size() > c.written_count_ + (c.partial_bytes_ > 0) &&
              now - c.pending_.back().since > limits_.dial_timeout) {
         ServerConnection::PendingAttempt e = std::move(c.pending_.back());
@@ -555,12 +561,13 @@
       }
       if (c.pending_.empty()) continue;
       const ServerConnection::PendingAttempt& head = c.pending_.front();
-      // Not from its last byte: one that trickles on would keep the connection for good.
+      // Counted from when it was abandoned, not from its last byte: an answer that keeps trickling
+      // in would hold the connection forever.
       bool silent = !head.awaited && now - head.since > kAbandonedAnswerTime;
       Micros pause = c.codec_->ends_early() ? kShortValuePauseTime : kAnswerPauseTime;
-      bool broken_off = c.codec_->in_answer() && now - c.last_used_at_ > pause;
-      if (silent || broken_off)
-        ++counts_.closed_unresponsive, close(c, broken_off ? Status::Spoilt : Status::Reset);
+      bool stalled = c.codec_->in_answer() && now - c.last_used_at_ > pause;
+      if (silent || stalled)
+        ++counts_.closed_unresponsive, close(c, stalled ? Status::Spoilt : Status::Reset);
     }
   }
   remove_unlisted();
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -1,4 +1,5 @@
-// The connections to cache servers: dial, pool, pipeline, idle close, and each attempt's fate.
+// Connections to the cache servers: dials, pools, pipelining, closing of idle connections, and how
+// each attempt ends.
 #pragma once
 
 #include <deque>
@@ -22,12 +23,12 @@
 
 class ServerSide final : public Carrier {
  public:
-  /// Told of what becomes of attempts. Calls come from within the event loop, and from send() and
-  /// cancel(); none may call back into ServerSide.
+  /// Receives the ends of attempts. Called from within the event loop, and from send() and
+  /// cancel(); must not call back into ServerSide.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// The attempt has ended; `result` is what came, where `status` tells of one. Called once for
+    /// The attempt has ended; `result` is set if `status` stands for an answer. Called once for
     /// each attempt, unless it was cancelled.
     virtual void on_attempt_end(RequestId id, int attempt, Status status,
                                 AttemptResult&& result) = 0;
@@ -35,13 +36,13 @@
   struct Limits {
     std::size_t max_connections = 300;  ///< to all servers
     std::size_t max_connections_per_server = 8;
-    int attempts_per_connection = 32;  ///< attempts on one connection
+    int attempts_per_connection = 32;  ///< pending at once
     Micros keepalive = 15 * kSecond;
     Micros dial_timeout = 75 * kMillisecond;
-    bool may_cancel = false;                        ///< servers may drop what is given up
-    std::size_t streaming_buffer_bytes = 4u << 20;  ///< of large values on their way, all together
+    bool may_cancel = false;                        ///< servers may drop cancelled attempts
+    std::size_t streaming_buffer_bytes = 4u << 20;  ///< for all large values in flight
     int routers = 1;                                ///< that share the servers
-    double tier_rate = 0;  ///< requests a second that the tier may bring; 0: not known
+    double tier_rate = 0;  ///< requests a second allowed to the tier; 0: unknown
   };
 
   ServerSide(event_base* base, const TimeSource& clock, Handler& handler, Limits limits,
@@ -49,40 +50,45 @@
   ~ServerSide();
 
   void set_limits(const Limits& limits) { limits_ = limits; }
-  /// Which servers speak the binary protocol from now on. Connections to those whose protocol has
-  /// changed end with what is out on them.
+  /// Sets which servers speak the binary protocol. Closes the connections to servers whose protocol
+  /// has changed, with the attempts in flight on them.
   void set_protocols(const BinaryRules& rules);
-  /// Takes over what a list says of where servers are and whether they want anything new.
+  /// Applies the addresses of a list, and which servers take new attempts.
   void apply_list(const HostList& list);
 
-  /// Sends one attempt. The handler may be told of its end before this returns.
+  /// Sends one attempt. The handler may be called with its end before this returns.
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override;
-  /// Gives an attempt up: Moot where nothing of it was sent whole, Cancelled where it may have run.
+  /// Cancels an attempt: NotSent if the server has not received it completely, Cancelled if it may
+  /// have run.
   Status cancel(const std::string& server, RequestId id, int attempt) override;
-  /// A written attempt is out as long as its connection is open: that is closed, where nobody else
-  /// waits for anything on it and answers have paid for another.
+  /// A written attempt is in flight as long as its connection is open. So the connection is closed,
+  /// if no other attempt on it is awaited and the close budget allows it.
   std::optional<Status> end(const std::string& server, RequestId id, int attempt) override;
-  /// Where the attempt is written in part, its connection has to end for it: only where nothing
-  /// else is waited for there that may have begun.
+  /// Withdrawing an attempt that is partly written closes its connection. This is done only if no
+  /// attempt that may have started is awaited there.
   bool take_back(const std::string& server, RequestId id, int attempt) override;
-  /// The binary protocol has no field for a key, so not while a listed server speaks it; but where
-  /// those servers take the CAS for it (`server_idempotency`), keys of its form pass.
+  /// The binary protocol has no field for an idempotency key, so false while a listed server speaks
+  /// it. If those servers take the CAS as the key (`server_idempotency`), keys that a CAS can
+  /// represent are kept.
   bool keeps_key(const Request& request) const override;
-  /// Counts since the start, for the log.
+  /// Counts since the process started, for the log.
   struct Counts {
     std::uint64_t dials = 0, failed_dials = 0, pipelined = 0, no_connection = 0;
     std::uint64_t ended_idle = 0, ended_busy = 0, malformed_answers = 0, closed_idle = 0,
                   closed_unresponsive = 0;
     std::uint64_t late_answers = 0, evicted = 0, wrong_protocol = 0;
-    std::uint64_t dials_over_connection_limit = 0;  ///< dials that the server had no room for
-    std::uint64_t withdrawn_leaving = 0;  ///< attempts taken back unsent, since their server leaves
-    std::uint64_t withdrawn_client_gone =
-        0;                        ///< attempts taken back unsent, since their client has gone
-    std::uint64_t kept_open = 0;  ///< given up on and not closed, for want of answers to pay for it
-    std::uint64_t written = 0;    ///< attempts, whole
-    std::uint64_t streamed_values = 0,
-                  broken_streams = 0;  ///< large values, and those that did not come whole
+    /// Dials that a server rejected because it was at its connection limit.
+    std::uint64_t dials_over_connection_limit = 0;
+    /// Attempts withdrawn unwritten because their server drains or has left.
+    std::uint64_t withdrawn_leaving = 0;
+    /// Attempts withdrawn unwritten because their client has gone.
+    std::uint64_t withdrawn_client_gone = 0;
+    /// Abandoned connections that the close budget did not allow to close.
+    std::uint64_t kept_open = 0;
+    std::uint64_t written = 0;  ///< attempts, completely
+    /// Large values, and those of them that were not received completely.
+    std::uint64_t streamed_values = 0, broken_streams = 0;
   };
   const Counts& counts() const { return counts_; }
 
@@ -90,13 +96,14 @@
   bool dirty() const { return !flush_queue_.empty(); }
   std::size_t connections() const { return connection_count_; }
   std::size_t idle_connections() const;
-  /// The part of the idle time by the settings that dials leave, 0 to 1.
+  /// The idle timeout in use as a share of the one the settings allow, 0 to 1; rejected dials lower
+  /// it.
   double idle_time_fraction() const { return idle_timeout_.part(clock_.now()); }
-  /// Where a server that wants anything new is reached; empty for any other.
+  /// The address of a server that takes new attempts; empty for any other.
   std::string address_of(const std::string& server) const;
-  /// The server at which most attempts were given up since the last call, and how many.
+  /// The server with the most abandoned attempts since the last call, and their number.
   std::pair<std::string, std::uint64_t> take_most_abandoned();
-  /// Servers of which anything is kept.
+  /// Servers that are listed or still have connections.
   std::size_t servers() const { return pools_.size(); }
 
  private:
@@ -108,26 +115,27 @@
   void set_protocol(ServerPool& pool);
   void update_any_binary();
   void on_wrong_protocol(ServerConnection& connection);
-  /// What one large value may hold of the memory, with so many on their way.
+  /// Bytes that one large value may buffer, with the number of them in flight now.
   std::size_t pipe_window() const;
-  /// How long a connection may stand idle as far as the settings tell.
+  /// The idle timeout that follows from the settings.
   Micros idle_limit() const;
-  /// The same at this server now, by what the tier can hold there and by what the server does.
+  /// The idle timeout at this server now: also limited by the connections the tier may hold there
+  /// and by the resets seen from the server.
   Micros idle_limit(const ServerPool& pool, Micros now) const;
   ServerConnection* pick(ServerPool& pool);
   robinseam::limits::ConnectionBudget make_close_budget() const;
   bool try_spend_close(ServerConnection& connection);
-  /// Whether the budgets allow the pool one more connection; closes one that is not missed for it.
+  /// Whether the pool may have one more connection; closes an idle or abandoned one if necessary.
   bool free_connection_slot(ServerPool& pool);
   void find_spare(const ServerPool& pool, ServerConnection*& spare) const;
-  /// Where one more attempt has the fewest before it; null where none may share.
+  /// The connection with the fewest pending attempts that takes one more; null if there is none.
   ServerConnection* least_loaded(const ServerPool& pool, bool established) const;
   ServerConnection* dial(ServerPool& pool);
   void schedule_flush(ServerConnection& connection);
-  /// Ends the connection; every attempt on it gets its outcome, those written whole `written`.
+  /// Closes the connection and ends every attempt on it, completely written ones with `written`.
   void close(ServerConnection& connection, Status written = Status::Reset);
   void on_dial_failed(ServerConnection& connection);
-  /// A server has answered a dial: it had room for it, or it is well and had not.
+  /// Records a dial that was accepted, or rejected by a healthy server at its connection limit.
   void record_dial(ServerPool& pool, bool at_connection_limit);
 
   event_base* base_;
@@ -136,14 +144,14 @@
   Limits limits_;
   const std::vector<robinseam::ReportField>* fields_;
   BinaryRules rules_;
-  bool any_binary_ = false;  // a listed server speaks the binary protocol
+  bool any_binary_ = false;  // some listed server speaks the binary protocol
   EventPtr sweep_event_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
   std::size_t connection_count_ = 0;
   robinseam::limits::IdleTime idle_timeout_;
-  double total_weight_ = 0;     // of the wanted servers
+  double total_weight_ = 0;     // of the usable servers
   std::uint32_t opaque_ = 0;    // of the last attempt
-  std::size_t open_pipes_ = 0;  // large values on their way
+  std::size_t open_pipes_ = 0;  // large values in flight
   Counts counts_;
   std::vector<std::unique_ptr<ServerConnection>> closed_;
   std::vector<ServerConnection*> flush_queue_;
