--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -66,7 +66,7 @@
   add("server_dials", s.dials);
   add("server_dials_failed", s.failed_dials);
   add("server_dials_no_room", s.dials_over_connection_limit);
-  part("server_idle_part", servers_.idle_time_fraction());
+  part("server_idle_part", servers_.idle_timeout_share());
   add("server_connections_none", s.no_connection);
   add("server_connections_pipelined", s.pipelined);
   add("server_connections_ended_idle", s.ended_idle);
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -98,7 +98,7 @@
   std::size_t idle_connections() const;
   /// The idle timeout in use as a share of the one the settings allow, 0 to 1; rejected dials lower
   /// it.
-  double idle_time_fraction() const { return idle_timeout_.part(clock_.now()); }
+  double idle_timeout_share() const { return idle_timeout_.part(clock_.now()); }
   /// The address of a server that takes new attempts; empty for any other.
   std::string address_of(const std::string& server) const;
   /// The server with the most abandoned attempts since the last call, and their number.
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -161,7 +161,7 @@
     if (c.ends) link.close();
     EXPECT_EQ(dials.end_of(id), c.status) << c.what;
     EXPECT_EQ(dials.side.counts().dials_over_connection_limit, c.no_room) << c.what;
-    EXPECT_EQ(dials.side.idle_time_fraction() < 0.6, c.no_room > 0) << c.what;
+    EXPECT_EQ(dials.side.idle_timeout_share() < 0.6, c.no_room > 0) << c.what;
   }
 }
 
