--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -118,7 +118,7 @@
 }
 
 void ServerSide::apply_list(const HostList& list) {
-  if (list.whole)
+  if (list.full)
     for (auto& [id, pool] : pools_) pool->listed = pool->usable = false;
   for (const Host& host : list.hosts) {
     bool gone = host.server.health == robinseam::Health::Gone;
