--- a/src/membership/disabled_servers_file.hpp
+++ b/src/membership/disabled_servers_file.hpp
@@ -1,4 +1,5 @@
-// The bans of a router in a file, which both processes of an upgrade read and write.
+// File that keeps the servers disabled by the operator. Both processes of an upgrade read and write
+// it.
 #pragma once
 
 #include <sys/types.h>
@@ -10,37 +11,37 @@
 
 namespace arrowfork {
 
-/// The file is replaced as a whole by rename, so that no reader sees a part of it; who changes it
-/// holds a lock beside it meanwhile.
+/// The file is replaced by rename, so that no reader sees a partial file; a writer holds a lock on
+/// a separate lock file meanwhile.
 class DisabledServersFile {
  public:
-  /// With an empty path nothing is kept on disk and the bans are this process's alone.
+  /// With an empty path nothing is written to disk and the state stays in this process.
   explicit DisabledServersFile(std::string path) : path_(std::move(path)) {}
 
-  /// The bans where the file has changed since the last look. A file that is gone or can't be read
-  /// as one changes nothing; `error` says why, once.
+  /// The disabled servers if the file has changed since the last read. A missing or unreadable file
+  /// changes nothing; an unreadable one sets `error`, once per reason.
   std::optional<DisabledServers> read_if_changed(std::string& error);
-  /// Takes `id` out from `now` on, or puts it back; gives all bans as they stand then. Nothing with
-  /// the reason in `error` where that could not be kept.
-  std::optional<DisabledServers> set_disabled(const std::string& id, bool out,
+  /// Disables `id` from `now` on, or enables it; returns all disabled servers. Nothing, with the
+  /// reason in `error`, if the change could not be stored.
+  std::optional<DisabledServers> set_disabled(const std::string& id, bool disable,
                                               robinseam::Micros now, std::string& error);
 
  private:
   std::optional<DisabledServers> read(std::string& error) const;
-  bool write(const DisabledServers& bans, std::string& error) const;
-  /// Which file was read last.
-  struct Mark {
+  bool write(const DisabledServers& disabled, std::string& error) const;
+  /// Identifies the version of the file that was read last.
+  struct FileVersion {
     ino_t inode = 0;
     off_t size = -1;
-    std::int64_t changed_ns = 0;
-    bool operator==(const Mark&) const = default;
+    std::int64_t modified_ns = 0;
+    bool operator==(const FileVersion&) const = default;
   };
-  Mark mark() const;
+  FileVersion file_version() const;
 
   std::string path_;
-  Mark seen_;
-  DisabledServers bans_;
-  std::string said_;  // the last error
+  FileVersion last_read_;
+  DisabledServers disabled_;
+  std::string last_error_;
 };
 
 }  // namespace arrowfork
--- a/src/membership/host_list.hpp
+++ b/src/membership/host_list.hpp
@@ -1,4 +1,4 @@
-// Cache servers as a source of membership lists them.
+// The list of cache servers that discovery reports.
 #pragma once
 
 #include <string>
@@ -8,18 +8,17 @@
 
 namespace arrowfork {
 
-/// One cache server as discovery lists it.
+/// One cache server in the list.
 struct Host {
   robinseam::Server server;
-  std::string dial;
+  std::string dial;  ///< address to connect to
 };
 
 struct HostList {
   std::string version;
-  bool full = false;
+  bool full = false;  ///< false: only the entries that changed
   std::vector<Host> hosts;
-  std::string entry_error =
-      {};  ///< what is wrong with an entry that had to be left out; empty: none was
+  std::string entry_error = {};  ///< why an invalid entry was left out; empty if none was
 };
 
 }  // namespace arrowfork
--- a/src/membership/list_validator.hpp
+++ b/src/membership/list_validator.hpp
@@ -1,5 +1,5 @@
-// Whether what discovery answers may change the list that is held: a list that can be read may
-// still be none.
+// Decides whether an answer of discovery may change the current list: a list that parses may still
+// be implausible.
 #pragma once
 
 #include <string>
@@ -9,55 +9,55 @@
 
 namespace arrowfork {
 
-/// Knows what one discovery address has told. Free of I/O and time.
+/// Checks the answers of one discovery address. No I/O, no clock.
 ///
-/// Refused are an entry that can't be used, a server named twice, a whole list that names nobody
-/// while somebody is held (every request would be turned away on the word of a registry that has
-/// just lost its state), and a version that goes back: a copy of discovery that lags behind, or an
-/// answer that was overtaken.
+/// Rejected are: an invalid entry; a server named twice; a full list that names no server while the
+/// current list names some (every request would be rejected because a registry lost its state); and
+/// a version that goes back, as from a discovery replica that lags or an answer that was overtaken.
 ///
-/// Nothing is refused without end, since discovery may mean it. A whole list with one of the
-/// first three faults is taken the second time in a row, without the entries that can't be used. A
-/// discovery that has begun to count anew can't be told from a copy that lags by one answer, but
-/// keeps to it: the third whole list in a row that lies back, and not behind the ones refused
-/// before it, is taken.
+/// Nothing is rejected forever, since discovery may mean it. A full list with one of the first
+/// three defects is accepted the second time in a row, without the invalid entries. A discovery
+/// that has restarted its version numbers can't be told from a replica that lags by one answer, but
+/// it persists: the third full list in a row with an older version, each not older than the one
+/// rejected before it, is accepted.
 ///
-/// What a refused answer says of servers that leave holds at once all the same (extract_drains()).
+/// What a rejected answer says of draining servers applies at once all the same (extract_drains()).
 class ListValidator {
  public:
-  static constexpr int kAnew = 3;
-  static constexpr int kMeant = 2;
+  /// Full lists in a row after which an older version, or a defect, is accepted.
+  static constexpr int kAcceptOlderAfter = 3;
+  static constexpr int kAcceptDefectAfter = 2;
 
-  /// What is wrong with the answer; empty: nothing, and it is held from now on.
+  /// Why the answer is rejected; empty: it is accepted and becomes the current list.
   std::string validate(const HostList& list);
-  /// Whether a server that the answer does not name is to get nothing new: in any whole list but an
-  /// empty one that goes back, as from a registry that has lost its state.
+  /// Whether servers that the answer does not name must drain: true for a full list, except an
+  /// empty one with an older version, as from a registry that has lost its state.
   bool drains_unlisted(const HostList& list) const;
-  /// Whether the answer's version is a number above the one that is held.
+  /// Whether the answer's version is a number above the current one.
   bool is_newer(const HostList& list) const;
-  /// The version that is held; empty before the first list.
+  /// Version of the current list; empty before the first one.
   const std::string& version() const { return version_; }
-  /// The list that the process holds already.
+  /// Sets the current list without a check.
   void set_current(const HostList& list);
-  /// Another discovery, that need not count as the last one did.
-  void reset_version() { version_.clear(), back_version_.clear(), back_ = 0; }
+  /// For another discovery service, whose version numbers are unrelated.
+  void reset_version() { version_.clear(), older_version_.clear(), older_lists_ = 0; }
 
  private:
   std::string version_;
-  std::string back_version_;  // of the last list refused for going back
-  int back_ = 0;              // lists in a row
-  int unlikely_ = 0;          // whole lists in a row with such a fault
-  bool any_ = false;          // a server is held
+  std::string older_version_;  // of the last list rejected for an older version
+  int older_lists_ = 0;        // rejected in a row for an older version
+  int defective_lists_ = 0;    // full lists in a row with a defect
+  bool has_servers_ = false;   // in the current list
 };
 
-/// One entry for each server of a list that names some twice: the last one, or what says that the
-/// server leaves.
+/// Merges the entries of servers that a list names twice: the last entry, with the worst health of
+/// all (a server that drains or is gone stays so).
 void merge_duplicates(HostList& list);
 
-/// What an answer that may not change the list says of servers that leave, as a change of the held
-/// list: to send nothing new to a server that is well is the safe side until a list is taken.
-/// `drain_unlisted`: so have those of `held` that it does not name.
-HostList extract_drains(const HostList& refused, bool drain_unlisted,
-                        const std::unordered_map<std::string, Host>& held);
+/// What a rejected answer says of draining servers, as a change of the current list: until a list
+/// is accepted, it is safer to send nothing new to a healthy server than to use a draining one.
+/// `drain_unlisted`: the servers of `current` that it does not name drain too.
+HostList extract_drains(const HostList& rejected, bool drain_unlisted,
+                        const std::unordered_map<std::string, Host>& current);
 
 }  // namespace arrowfork
--- a/src/membership/operator_overrides.cpp
+++ b/src/membership/operator_overrides.cpp
@@ -7,28 +7,28 @@
 using robinseam::Health;
 using robinseam::Micros;
 
-Host OperatorOverrides::over(const Host& host) {
+Host OperatorOverrides::with_overrides(const Host& host) {
   Host one = host;
   const std::string& id = host.server.id;
-  if (bans_.count(id)) {
+  if (disabled_.count(id)) {
     one.server.health = Health::Draining;
-  } else if (auto at = back_.find(id); at != back_.end()) {
-    if (host.server.up_since > at->second.out)
-      back_.erase(at);  // the list knows of the restart
+  } else if (auto at = enabled_again_.find(id); at != enabled_again_.end()) {
+    if (host.server.up_since > at->second.disabled_at)
+      enabled_again_.erase(at);  // the list reports a later restart
     else
-      one.server.up_since = at->second.in;
+      one.server.up_since = at->second.enabled_at;
   }
   return one;
 }
 
 void OperatorOverrides::forget(const std::string& id) {
-  told_.erase(id);
-  acted_.erase(id);
-  back_.erase(id);
-  if (!gone_.insert(id).second) return;
+  discovered_.erase(id);
+  effective_.erase(id);
+  enabled_again_.erase(id);
+  if (!gone_ids_.insert(id).second) return;
   gone_order_.push_back(id);
   if (gone_order_.size() <= kMaxGoneIds) return;
-  gone_.erase(gone_order_.front());
+  gone_ids_.erase(gone_order_.front());
   gone_order_.pop_front();
 }
 
@@ -38,53 +38,53 @@
     std::unordered_set<std::string> named;
     for (const Host& host : list.hosts) named.insert(host.server.id);
     std::vector<std::string> missing;
-    for (const auto& [id, host] : told_)
+    for (const auto& [id, host] : discovered_)
       if (!named.count(id)) missing.push_back(id);
     for (const std::string& id : missing) forget(id);
   }
   for (Host& host : list.hosts) {
     const std::string id = host.server.id;
     if (host.server.health == Health::Gone) {
-      if (told_.count(id)) forget(id);
+      if (discovered_.count(id)) forget(id);
       continue;
     }
-    told_[id] = host;
-    host = over(host);
-    acted_[id] = host;
+    discovered_[id] = host;
+    host = with_overrides(host);
+    effective_[id] = host;
   }
   return list;
 }
 
-HostList OperatorOverrides::set_disabled(const DisabledServers& bans, Micros now) {
+HostList OperatorOverrides::set_disabled(const DisabledServers& disabled, Micros now) {
   std::vector<std::string> changed;
-  for (const auto& [id, since] : bans)
-    if (!bans_.count(id)) changed.push_back(id);
-  for (const auto& [id, since] : bans_)
-    if (!bans.count(id)) {
+  for (const auto& [id, since] : disabled)
+    if (!disabled_.count(id)) changed.push_back(id);
+  for (const auto& [id, since] : disabled_)
+    if (!disabled.count(id)) {
       changed.push_back(id);
-      if (told_.count(id)) back_[id] = {since, now};
+      if (discovered_.count(id)) enabled_again_[id] = {since, now};
     }
-  bans_ = bans;
+  disabled_ = disabled;
   HostList part;
   part.version = version_;
   for (const std::string& id : changed) {
-    auto at = told_.find(id);
-    if (at == told_.end()) continue;
-    part.hosts.push_back(over(at->second));
-    acted_[id] = part.hosts.back();
+    auto at = discovered_.find(id);
+    if (at == discovered_.end()) continue;
+    part.hosts.push_back(with_overrides(at->second));
+    effective_[id] = part.hosts.back();
   }
   return part;
 }
 
 bool OperatorOverrides::is_known(const std::string& id) const {
-  return told_.count(id) || bans_.count(id) || gone_.count(id);
+  return discovered_.count(id) || disabled_.count(id) || gone_ids_.count(id);
 }
 
 HostList OperatorOverrides::discovered_list() const {
   HostList list;
   list.version = version_;
   list.full = true;
-  for (const auto& [id, host] : told_) list.hosts.push_back(host);
+  for (const auto& [id, host] : discovered_) list.hosts.push_back(host);
   return list;
 }
 
--- a/src/membership/operator_overrides.hpp
+++ b/src/membership/operator_overrides.hpp
@@ -1,4 +1,4 @@
-// What operators say of cache servers by hand, laid over what discovery lists. No I/O.
+// Cache servers disabled by the operator, applied on top of the list from discovery. No I/O.
 #pragma once
 
 #include <deque>
@@ -11,46 +11,46 @@
 
 namespace arrowfork {
 
-/// Servers out by hand, each with the time of the first call that took it out.
+/// Servers disabled by the operator, each with the time of the call that disabled it.
 using DisabledServers = std::map<std::string, robinseam::Micros>;
 
-/// A server out by hand is told onward as leaving, whatever the list says, until it is put back.
-/// From then on it is presumed to have been started anew at that moment, and so to be cold, unless
-/// the list tells of a start after the ban.
+/// A disabled server is reported as draining, whatever the list says, until it is enabled again. It
+/// is then treated as restarted at that moment, and so as cold, unless the list names a start time
+/// after it was disabled.
 class OperatorOverrides {
  public:
-  /// Ids that were listed once are known for good, but at most so many of those that have gone.
+  /// Ids that were ever listed stay known; of those that left the list, at most this many.
   static constexpr std::size_t kMaxGoneIds = 4096;
-  /// DisabledServers at once; more are refused.
+  /// Servers disabled at the same time; more are rejected.
   static constexpr std::size_t kMaxDisabled = 1024;
 
-  /// Takes over a list and gives what the router is to act on in its place.
+  /// Stores a list from discovery and returns it with the overrides applied.
   HostList apply_list(HostList list);
-  /// Takes over the bans as they stand now. Gives the entries that change, as a part of a list.
-  HostList set_disabled(const DisabledServers& bans, robinseam::Micros now);
-  /// Whether the id was ever listed, or is out.
+  /// Replaces the set of disabled servers. Returns the entries that change, as a partial list.
+  HostList set_disabled(const DisabledServers& disabled, robinseam::Micros now);
+  /// Whether the id was ever listed or is disabled.
   bool is_known(const std::string& id) const;
-  const DisabledServers& disabled() const { return bans_; }
-  /// The servers on the list as it is acted on, those that leave among them.
-  const std::unordered_map<std::string, Host>& effective_hosts() const { return acted_; }
-  /// The same as discovery has told it, without what was done by hand.
-  const std::unordered_map<std::string, Host>& discovered_hosts() const { return told_; }
-  /// The list as discovery told it, whole.
+  const DisabledServers& disabled() const { return disabled_; }
+  /// The listed servers with the overrides applied, including those that drain.
+  const std::unordered_map<std::string, Host>& effective_hosts() const { return effective_; }
+  /// The listed servers as discovery reports them, without overrides.
+  const std::unordered_map<std::string, Host>& discovered_hosts() const { return discovered_; }
+  /// The full list as discovery reports it.
   HostList discovered_list() const;
 
  private:
-  struct Back {
-    robinseam::Micros out, in;  ///< when the ban began and ended
+  struct EnabledAgain {
+    robinseam::Micros disabled_at, enabled_at;
   };
-  Host over(const Host& host);
+  Host with_overrides(const Host& host);
   void forget(const std::string& id);
 
   std::string version_;
-  std::unordered_map<std::string, Host> told_, acted_;
-  DisabledServers bans_;
-  std::unordered_map<std::string, Back> back_;  // of listed servers
-  std::unordered_set<std::string> gone_;
-  std::deque<std::string> gone_order_;
+  std::unordered_map<std::string, Host> discovered_, effective_;
+  DisabledServers disabled_;
+  std::unordered_map<std::string, EnabledAgain> enabled_again_;  // listed servers only
+  std::unordered_set<std::string> gone_ids_;
+  std::deque<std::string> gone_order_;  // oldest first
 };
 
 }  // namespace arrowfork
