--- a/src/membership/list_validator.cpp
+++ b/src/membership/list_validator.cpp
@@ -63,7 +63,7 @@
     older_version_ = list.full ? list.version : "";
     if (older_lists_ < kAcceptOlderAfter) return "version " + list.version + " after " + version_;
   }
-  hold(list);
+  set_current(list);
   return {};
 }
 
