--- a/src/membership/list_subscription.cpp
+++ b/src/membership/list_subscription.cpp
@@ -11,16 +11,16 @@
 
 constexpr Micros kMillisecond = 1000, kSecond = 1000 * kMillisecond;
 
-const char* const kPath = "/discovery/hosts";
+const char* const kListPath = "/discovery/hosts";
 // A call that is answered at once.
 constexpr int kShortWaitMs = 1;
-// A call that is not answered this long after its wait has failed: discovery answers or fails what
-// it can't do within seconds, so silence means that it can't be reached. Over the patience with
-// calls that wait in line (call_schedule).
-constexpr Micros kCallTime = 5500 * kMillisecond;
-// What discovery has to tell counts as told so long after a configuration that names another
+// A call that is not answered this long after its wait has failed: discovery answers, or fails what
+// it can't do, within seconds, so silence means that it can't be reached. Longer than the timeout
+// of calls that wait in discovery's queue (call_schedule).
+constexpr Micros kCallTimeout = 5500 * kMillisecond;
+// The router counts as notified of all changes this long after a configuration names another
 // address.
-constexpr Micros kMoveWithin = 4 * kSecond;
+constexpr Micros kAddressChangeTime = 4 * kSecond;
 
 std::string escaped(const std::string& text) {
   static const char* const kHex = "0123456789ABCDEF";
@@ -63,8 +63,8 @@
       address_(address),
       schedule_(options.routers, options.pushed, options.grace),
       random_(static_cast<std::minstd_rand::result_type>(options.seed)) {
-  ids_.fill(kNone);
-  guard_.set_current(known);
+  ids_.fill(kNoCall);
+  validator_.set_current(known);
   if (options.pushed)
     watch(now);
   else if (!known.hosts.empty())
@@ -72,222 +72,224 @@
 }
 
 void ListSubscription::watch(Micros now) {
-  look_at_ = CallSchedule::kNever;
-  if (auto due = schedule_.begin(now, chance())) call(*due, now);
+  poll_at_ = CallSchedule::kNever;
+  if (auto due = schedule_.begin(now, chance())) start_call(*due, now);
 }
 
 void ListSubscription::poll_within(Micros now, Micros span) {
-  look_at_ = now + static_cast<Micros>(chance() * static_cast<double>(span));
+  poll_at_ = now + static_cast<Micros>(chance() * static_cast<double>(span));
 }
 
 void ListSubscription::fetch_full_list(Micros now) {
-  ask_whole_ = true;
+  need_full_list_ = true;
   watch(now);
 }
 
-/// The new service need not count versions as the old one did, so it is asked for its whole list.
-/// Calls that are out at the old address are not renewed: it takes no new ones.
+/// The version numbers of the new service may be unrelated, so it is asked for its full list. Calls
+/// in flight at the old address are not renewed: it accepts no new ones.
 void ListSubscription::change_address(const std::string& address, Micros now) {
-  Former former;
-  former.guard = guard_;
+  FormerAddress former;
+  former.validator = validator_;
   for (int& id : ids_)
-    if (id != kNone) former.ids.push_back(std::exchange(id, kNone));
-  for (const Lingering& one : lingering_) former.ids.push_back(one.id);
-  lingering_.clear();
-  std::erase_if(formers_, [](const Former& one) { return one.ids.empty(); });
-  formers_.push_back(std::move(former));
-  formers_until_ = CallSchedule::kNever;
-  while (former_calls() > kMostFormerCalls) cancel_former(0);
+    if (id != kNoCall) former.ids.push_back(std::exchange(id, kNoCall));
+  for (const SupersededCall& one : superseded_) former.ids.push_back(one.id);
+  superseded_.clear();
+  std::erase_if(former_addresses_, [](const FormerAddress& one) { return one.ids.empty(); });
+  former_addresses_.push_back(std::move(former));
+  former_until_ = CallSchedule::kNever;
+  while (former_calls() > kMaxFormerCalls) cancel_former_address(0);
   address_ = address;
-  guard_.reset_version();
-  schedule_.change_address(now, kMoveWithin);
+  validator_.reset_version();
+  schedule_.change_address(now, kAddressChangeTime);
   watch(now);
 }
 
 void ListSubscription::stop() {
   schedule_.stop();
-  look_at_ = CallSchedule::kNever;
+  poll_at_ = CallSchedule::kNever;
   for (std::size_t slot = 0; slot < ids_.size(); ++slot) cancel_slot(slot, CancelReason::Stopped);
-  while (!lingering_.empty()) cancel_lingering();
-  cancel_formers();
+  while (!superseded_.empty()) cancel_oldest_superseded();
+  cancel_former_addresses();
 }
 
-void ListSubscription::call(const CallSchedule::Call& call, Micros now) {
+void ListSubscription::start_call(const CallSchedule::Call& call, Micros now) {
   auto slot = static_cast<std::size_t>(call.slot);
   cancel_slot(slot, CancelReason::Replaced);
   ListCall out;
   out.id = ids_[slot] = ++last_id_;
   out.address = address_;
-  out.path = kPath;
-  out.timeout = kCallTime;
-  whole_asked_[slot] = guard_.version().empty() || ask_whole_;
-  if (!whole_asked_[slot]) {
+  out.path = kListPath;
+  out.timeout = kCallTimeout;
+  full_requested_[slot] = validator_.version().empty() || need_full_list_;
+  if (!full_requested_[slot]) {
     int wait = std::max(kShortWaitMs, static_cast<int>(call.wait / kMillisecond));
-    out.path += "?index=" + escaped(guard_.version()) + "&wait=" + std::to_string(wait);
+    out.path += "?index=" + escaped(validator_.version()) + "&wait=" + std::to_string(wait);
     out.timeout += wait * kMillisecond;
   }
   transport_.start(out);
-  follow(now);
+  supersede_dropped(now);
 }
 
 void ListSubscription::cancel_slot(std::size_t slot, CancelReason reason) {
-  int id = std::exchange(ids_[slot], kNone);
-  if (id != kNone) transport_.cancel(id, reason);
+  int id = std::exchange(ids_[slot], kNoCall);
+  if (id != kNoCall) transport_.cancel(id, reason);
 }
 
 std::size_t ListSubscription::former_calls() const {
   std::size_t calls = 0;
-  for (const Former& former : formers_) calls += former.ids.size();
+  for (const FormerAddress& former : former_addresses_) calls += former.ids.size();
   return calls;
 }
 
-void ListSubscription::cancel_former(std::size_t which) {
-  for (int id : formers_[which].ids) transport_.cancel(id, CancelReason::AddressChanged);
-  formers_.erase(formers_.begin() + static_cast<std::ptrdiff_t>(which));
+void ListSubscription::cancel_former_address(std::size_t index) {
+  for (int id : former_addresses_[index].ids) transport_.cancel(id, CancelReason::AddressChanged);
+  former_addresses_.erase(former_addresses_.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
-void ListSubscription::cancel_formers() {
-  while (!formers_.empty()) cancel_former(formers_.size() - 1);
-  formers_until_ = CallSchedule::kNever;
+void ListSubscription::cancel_former_addresses() {
+  while (!former_addresses_.empty()) cancel_former_address(former_addresses_.size() - 1);
+  former_until_ = CallSchedule::kNever;
 }
 
-void ListSubscription::linger(std::size_t slot, Micros now) {
-  int id = std::exchange(ids_[slot], kNone);
-  if (id != kNone) hear_out(id, now);
+void ListSubscription::supersede_slot(std::size_t slot, Micros now) {
+  int id = std::exchange(ids_[slot], kNoCall);
+  if (id != kNoCall) add_superseded(id, now);
 }
 
-void ListSubscription::hear_out(int id, Micros now) {
-  if (lingering_.size() == kMostLingering) cancel_lingering();
-  lingering_.push_back({id, now + kLinger});
+void ListSubscription::add_superseded(int id, Micros now) {
+  if (superseded_.size() == kMaxSupersededCalls) cancel_oldest_superseded();
+  superseded_.push_back({id, now + kSupersededTime});
 }
 
-void ListSubscription::cancel_lingering() {
-  transport_.cancel(lingering_.front().id, CancelReason::Superseded);
-  lingering_.erase(lingering_.begin());
+void ListSubscription::cancel_oldest_superseded() {
+  transport_.cancel(superseded_.front().id, CancelReason::Superseded);
+  superseded_.erase(superseded_.begin());
 }
 
-void ListSubscription::end_lingering(Micros now) {
-  while (!lingering_.empty() && now >= lingering_.front().until) cancel_lingering();
-  if (formers_until_ != CallSchedule::kNever && now >= formers_until_) cancel_formers();
+void ListSubscription::cancel_expired(Micros now) {
+  while (!superseded_.empty() && now >= superseded_.front().until) cancel_oldest_superseded();
+  if (former_until_ != CallSchedule::kNever && now >= former_until_) cancel_former_addresses();
 }
 
-void ListSubscription::follow(Micros now) {
+void ListSubscription::supersede_dropped(Micros now) {
   for (std::size_t slot = 0; slot < ids_.size(); ++slot)
-    if (!schedule_.in_flight(static_cast<int>(slot))) linger(slot, now);
+    if (!schedule_.in_flight(static_cast<int>(slot))) supersede_slot(slot, now);
 }
 
-bool ListSubscription::may_count(ListValidator& guard, std::optional<HostList>& list) {
+bool ListSubscription::accept(ListValidator& validator, std::optional<HostList>& list) {
   if (!list) return false;
-  bool drain_unlisted = guard.drains_unlisted(*list);
-  std::string reason = guard.validate(*list);
+  bool drain_unlisted = validator.drains_unlisted(*list);
+  std::string reason = validator.validate(*list);
   if (reason.empty()) {
     merge_duplicates(*list);
     return true;
   }
   handler_.on_list_rejected(reason);
-  drain(*list, drain_unlisted);
+  apply_drains(*list, drain_unlisted);
   return false;
 }
 
-/// The whole list has to say what became of these servers.
-void ListSubscription::drain(const HostList& list, bool drain_unlisted) {
-  ask_whole_ = true;
+/// Requests the full list, which decides what became of these servers.
+void ListSubscription::apply_drains(const HostList& list, bool drain_unlisted) {
+  need_full_list_ = true;
   handler_.on_drains(list, drain_unlisted);
 }
 
 void ListSubscription::on_call_ended(int id, ListResult result, Micros now) {
-  for (Former& former : formers_) {
+  for (FormerAddress& former : former_addresses_) {
     if (std::erase(former.ids, id) == 0) continue;
-    take_former(former, std::move(result), now);
+    handle_former_result(former, std::move(result), now);
     return;
   }
-  if (std::erase_if(lingering_, [id](const Lingering& one) { return one.id == id; }) > 0) {
-    take_lingering(std::move(result), now);
+  if (std::erase_if(superseded_, [id](const SupersededCall& one) { return one.id == id; }) > 0) {
+    handle_superseded_result(std::move(result), now);
     return;
   }
   auto at = std::find(ids_.begin(), ids_.end(), id);
   if (at == ids_.end()) return;
-  *at = kNone;
-  if (result.may_resume) hear_out(id, now);
-  take(static_cast<std::size_t>(at - ids_.begin()), std::move(result), now);
+  *at = kNoCall;
+  if (result.may_resume) add_superseded(id, now);
+  handle_result(static_cast<std::size_t>(at - ids_.begin()), std::move(result), now);
 }
 
-/// The last word of an old address. The list that the new one is making may be older than a change
-/// told here: it is asked anew. Once the new one has answered, what it told is of now but for
-/// drains that crossed its answer.
-void ListSubscription::take_former(Former& former, ListResult result, Micros now) {
+/// Handles an answer of a former address. The list that the new address is preparing may be older
+/// than a change reported here, so it is asked again. Once the new address has answered, its list
+/// is up to date except for drains reported while its answer was under way.
+void ListSubscription::handle_former_result(FormerAddress& former, ListResult result, Micros now) {
   std::optional<HostList>& list = result.list;
   if (!list) return;
   schedule_.require_new_watch(now, chance());
-  if (!may_count(former.guard, list)) {
+  if (!accept(former.validator, list)) {
     watch(now);
     return;
   }
   if (!list->full && list->hosts.empty()) return;
-  if (guard_.version().empty()) {
+  if (validator_.version().empty()) {
     schedule_.abandon_calls();
     watch(now);
     handler_.on_hosts(std::move(*list));
     return;
   }
-  drain(*list, false);
+  apply_drains(*list, false);
   watch(now);
 }
 
-/// Told in the moment in which a later call was answered, or slowly: newer than what is held, or
-/// known.
-void ListSubscription::take_lingering(ListResult result, Micros now) {
+/// Handles an answer that arrived while a later call was answered, or slowly. It is either newer
+/// than the current list or already known.
+void ListSubscription::handle_superseded_result(ListResult result, Micros now) {
   std::optional<HostList>& list = result.list;
-  if (!list || !(version().empty() || guard_.is_newer(*list))) return;
+  if (!list || !(version().empty() || validator_.is_newer(*list))) return;
   schedule_.require_new_watch(now, chance());
-  if (may_count(guard_, list))
+  if (accept(validator_, list))
     handler_.on_hosts(std::move(*list));
   else
     watch(now);
 }
 
-void ListSubscription::take(std::size_t slot, ListResult result, Micros now) {
+void ListSubscription::handle_result(std::size_t slot, ListResult result, Micros now) {
   std::optional<HostList>& list = result.list;
-  bool counts = may_count(guard_, list);
-  if (!counts) {
-    CallFailure fault = list ? CallFailure::Unusable : result.failure;
-    bool alone = schedule_.on_failure(now, static_cast<int>(slot), fault, chance());
-    follow(now);
+  bool accepted = accept(validator_, list);
+  if (!accepted) {
+    CallFailure failure = list ? CallFailure::Unusable : result.failure;
+    bool none_in_flight = schedule_.on_failure(now, static_cast<int>(slot), failure, chance());
+    supersede_dropped(now);
     handler_.on_call_failed();
-    if (alone) handler_.on_hosts_failed();
+    if (none_in_flight) handler_.on_hosts_failed();
     return;
   }
-  // Only a whole list says what became of servers in an answer that was refused, or what comes in
-  // its place.
-  if (list->full || whole_asked_[slot]) ask_whole_ = false;
-  if (!formers_.empty() && formers_until_ == CallSchedule::kNever) formers_until_ = now + kLinger;
+  // Only a full list, or the answer to a request for one, says what became of the servers in a
+  // rejected answer.
+  if (list->full || full_requested_[slot]) need_full_list_ = false;
+  if (!former_addresses_.empty() && former_until_ == CallSchedule::kNever)
+    former_until_ = now + kSupersededTime;
   bool news = list->full || !list->hosts.empty();
   schedule_.on_answer(now, static_cast<int>(slot), news, chance());
-  // A whole list is answered at once and no watch, so its silence must be noticed as soon.
-  if (ask_whole_) watch(now);
-  follow(now);
+  // The full list is answered at once, not at the end of a watch, so it is requested by a poll,
+  // whose silence is noticed as soon.
+  if (need_full_list_) watch(now);
+  supersede_dropped(now);
   handler_.on_hosts(std::move(*list));
 }
 
 Micros ListSubscription::next() const {
   Micros next = CallSchedule::kNever;
-  auto at = [&next](Micros t) {
+  auto include = [&next](Micros t) {
     if (t != CallSchedule::kNever && (next == CallSchedule::kNever || t < next)) next = t;
   };
-  at(schedule_.next());
-  at(look_at_);
-  at(formers_until_);
-  if (!lingering_.empty()) at(lingering_.front().until);
+  include(schedule_.next());
+  include(poll_at_);
+  include(former_until_);
+  if (!superseded_.empty()) include(superseded_.front().until);
   return next;
 }
 
 void ListSubscription::advance(Micros now) {
-  end_lingering(now);
-  if (look_at_ != CallSchedule::kNever && now >= look_at_) {
+  cancel_expired(now);
+  if (poll_at_ != CallSchedule::kNever && now >= poll_at_) {
     watch(now);
     return;
   }
-  if (auto due = schedule_.advance(now, chance())) call(*due, now);
+  if (auto due = schedule_.advance(now, chance())) start_call(*due, now);
 }
 
 }  // namespace arrowfork
--- a/src/membership/list_subscription.hpp
+++ b/src/membership/list_subscription.hpp
@@ -1,6 +1,6 @@
-// Keeps the list of servers current: which calls are made on which discovery address, which of
-// their answers change the list, and when the next call is due. Pure: answers and times come in,
-// calls to make and lists to apply go out, so that it runs in virtual time under test.
+// Keeps the list of servers up to date: decides which calls go to which discovery address, which
+// answers change the list, and when the next call is due. Pure: answers and times come in, calls to
+// make and lists to apply go out, so that tests run it in virtual time.
 #pragma once
 
 #include <array>
@@ -15,33 +15,33 @@
 
 namespace arrowfork {
 
-/// One HTTP call on discovery that the transport has to make.
+/// One HTTP call to discovery that the transport has to make.
 struct ListCall {
-  int id = 0;  ///< new with every call of a subscription
+  int id = 0;  ///< unique within a subscription
   std::string address;
   std::string path;
-  robinseam::Micros timeout = 0;  ///< given up after this time
+  robinseam::Micros timeout = 0;  ///< for the whole call
 };
 
 /// How a call ended.
 struct ListResult {
-  std::optional<HostList> list;  ///< none: the call failed, as `fault` has it
+  std::optional<HostList> list;  ///< none: the call failed with `failure`
   robinseam::membership::CallFailure failure = robinseam::membership::CallFailure::Refused;
-  /// The answer has begun and stopped short. It may still come: the call is out until it is
-  /// cancelled or ended once more.
+  /// The answer has started and then stalled. The rest may still arrive: the call stays in flight
+  /// until it is cancelled or on_call_ended() is called once more.
   bool may_resume = false;
 };
 
-/// Why a call that is out is given up.
+/// Why a call in flight is cancelled.
 enum class CancelReason {
   Replaced,        ///< its slot is needed for a new call
-  Superseded,      ///< a later call was answered, and this one has been heard out
-  AddressChanged,  ///< its address was left
+  Superseded,      ///< a later call was answered, and this one's extra time is over
+  AddressChanged,  ///< its address is no longer used
   Stopped,         ///< the subscription ends
 };
 const char* name_of(CancelReason reason);
 
-/// Makes the calls of a subscription. Each call that is started ends in one
+/// Makes the calls of a subscription. Each started call ends in one
 /// ListSubscription::on_call_ended(), unless it is cancelled before.
 class ListTransport {
  public:
@@ -59,112 +59,113 @@
    public:
     virtual ~Handler() = default;
     virtual void on_hosts(HostList&& list) = 0;
-    /// Any call; the next one may be under way already.
+    /// A call failed; the next one may already be in flight.
     virtual void on_call_failed() = 0;
-    /// None is out: the next one is planned, and the handler may call sooner.
+    /// A call failed and none is in flight: the next one is planned, the handler may call sooner.
     virtual void on_hosts_failed() = 0;
-    /// An answer that can be read may not change the list, for that reason.
+    /// A list that could be parsed was rejected for this reason.
     virtual void on_list_rejected(const std::string& reason) = 0;
-    /// What such an answer says of servers that leave holds all the same; see extract_drains().
+    /// A rejected list still applies to servers that it reports as draining; see extract_drains().
     virtual void on_drains(const HostList& list, bool drain_unlisted) = 0;
   };
 
   struct Options {
-    int routers = 1;                             ///< of the tier
-    bool pushed = false;                         ///< lists come from an agent on the own machine
-    std::uint64_t seed = 0;                      ///< of the jitter
-    Micros grace = CallSchedule::kDefaultGrace;  ///< of drains
+    int routers = 1;                             ///< in the tier
+    bool pushed = false;                         ///< lists come from an agent on the same machine
+    std::uint64_t seed = 0;                      ///< of the random jitter
+    Micros grace = CallSchedule::kDefaultGrace;  ///< drain grace
   };
 
-  /// `known`: the list that is held at `now`.
+  /// `known`: the current list at `now`.
   ListSubscription(const std::string& address, const HostList& known, const Options& options,
                    Micros now, ListTransport& transport, Handler& handler);
 
-  /// Begins a watch, beside calls of which nothing has come yet; a moment later right behind an
-  /// answer.
+  /// Starts polling and watching beside calls that are not answered yet; shortly after an answer it
+  /// waits a moment.
   void watch(Micros now);
-  /// Asks for changes anew at a random time within `span`, since what is held may be from before.
+  /// Polls for changes at a random time within `span`, since the current list may be outdated.
   void poll_within(Micros now, Micros span);
-  /// Asks for the whole list.
+  /// Requests the full list.
   void fetch_full_list(Micros now);
-  /// Goes over to another address without a gap: what is out at those before stays until the new
-  /// one has given its whole list, and what they still bring counts.
+  /// Switches to another address without a gap: calls at former addresses stay in flight until the
+  /// new address has answered with its full list, and their answers still count.
   void change_address(const std::string& address, Micros now);
   /// Cancels all calls and plans no more.
   void stop();
 
-  /// The transport's word on a call.
+  /// The transport reports the end of a call.
   void on_call_ended(int id, ListResult result, Micros now);
-  /// When advance() has to be called; CallSchedule::kNever: there is nothing to wait for.
+  /// When advance() has to be called; CallSchedule::kNever: nothing is planned.
   Micros next() const;
   void advance(Micros now);
 
-  /// The next call is planned, whether one is out or not.
+  /// A next call is planned, whether or not one is in flight.
   bool planned() const { return schedule_.next() != CallSchedule::kNever; }
-  /// Something that discovery had to tell may count as told by now and has not been heard.
+  /// The router may count as notified of a change that it has not received.
   bool overdue(Micros now) const { return schedule_.overdue(now); }
-  /// The earliest such moment and why; CallSchedule::kNever: there is none.
+  /// The earliest time at which that happens, and why; CallSchedule::kNever: none.
   Micros deadline() const { return schedule_.deadline(); }
   robinseam::membership::DeadlineReason deadline_reason() const {
     return schedule_.deadline_reason();
   }
-  /// The version of the list that is held; empty before the first.
-  const std::string& version() const { return guard_.version(); }
+  /// Version of the current list; empty before the first one.
+  const std::string& version() const { return validator_.version(); }
 
  private:
-  static constexpr int kNone = -1;
-  /// An address that was left, and the calls that are out there.
-  struct Former {
+  static constexpr int kNoCall = -1;
+  /// An address that is no longer used, and the calls in flight there.
+  struct FormerAddress {
     std::vector<int> ids;
-    ListValidator guard;
+    ListValidator validator;
   };
-  /// A call that is not waited for any more, since a later one was answered. What was written to it
-  /// in that moment counts as told, so it is heard out for a while.
-  struct Lingering {
-    int id = kNone;
+  /// A call that is no longer awaited, since a later one was answered or it stalled. The router
+  /// counts as notified of an answer that discovery wrote to it at that moment, so it stays in
+  /// flight for a while.
+  struct SupersededCall {
+    int id = kNoCall;
     Micros until = 0;
   };
-  static constexpr Micros kLinger = 2'000'000;
-  static constexpr std::size_t kMostLingering = 4;
-  /// Calls at former addresses; with those that linger and those in the slots they are no more than
-  /// the descriptors that the router reserves for discovery.
-  static constexpr std::size_t kMostFormerCalls = 8;
-
-  void call(const CallSchedule::Call& call, Micros now);
-  void take(std::size_t slot, ListResult result, Micros now);
-  void take_former(Former& former, ListResult result, Micros now);
-  void take_lingering(ListResult result, Micros now);
-  /// Acts on what an answer says of servers that leave, and no more of it.
-  void drain(const HostList& list, bool drain_unlisted);
-  /// Whether the answer may change the list; says so where not.
-  bool may_count(ListValidator& guard, std::optional<HostList>& list);
+  static constexpr Micros kSupersededTime = 2'000'000;
+  static constexpr std::size_t kMaxSupersededCalls = 4;
+  /// Calls at former addresses. Together with superseded calls and those in the slots they stay
+  /// within the descriptors that the router reserves for discovery.
+  static constexpr std::size_t kMaxFormerCalls = 8;
+
+  void start_call(const CallSchedule::Call& call, Micros now);
+  void handle_result(std::size_t slot, ListResult result, Micros now);
+  void handle_former_result(FormerAddress& former, ListResult result, Micros now);
+  void handle_superseded_result(ListResult result, Micros now);
+  /// Applies only what a list says of draining servers, and requests the full list.
+  void apply_drains(const HostList& list, bool drain_unlisted);
+  /// Whether the answer may change the list; reports a rejected one to the handler.
+  bool accept(ListValidator& validator, std::optional<HostList>& list);
   void cancel_slot(std::size_t slot, CancelReason reason);
-  /// The call in the slot is out still and not waited for.
-  void linger(std::size_t slot, Micros now);
-  void hear_out(int id, Micros now);
-  void cancel_lingering();
-  void end_lingering(Micros now);
+  /// Moves the call of the slot, still in flight, to the superseded ones.
+  void supersede_slot(std::size_t slot, Micros now);
+  void add_superseded(int id, Micros now);
+  void cancel_oldest_superseded();
+  void cancel_expired(Micros now);
   std::size_t former_calls() const;
-  void cancel_former(std::size_t which);
-  void cancel_formers();
-  /// Leaves the calls that are not waited for any more.
-  void follow(Micros now);
+  void cancel_former_address(std::size_t index);
+  void cancel_former_addresses();
+  /// Supersedes the calls that the schedule no longer awaits.
+  void supersede_dropped(Micros now);
   double chance() { return std::uniform_real_distribution<>()(random_); }
 
   ListTransport& transport_;
   Handler& handler_;
   std::string address_;
-  ListValidator guard_;
+  ListValidator validator_;
   CallSchedule schedule_;
-  /// By slot of `schedule_`: the call that is out there.
+  /// By slot of `schedule_`: the call in flight there.
   std::array<int, CallSchedule::kSlots> ids_;
-  std::array<bool, CallSchedule::kSlots> whole_asked_{};  // by that call
-  std::vector<Former> formers_;                           // the last one left last
-  Micros formers_until_ = CallSchedule::kNever;           // once the new address has answered
-  std::vector<Lingering> lingering_;                      // the oldest first
-  bool ask_whole_ = false;  // what is held may not be what discovery thinks it is
-  int last_id_ = kNone;
-  Micros look_at_ = CallSchedule::kNever;
+  std::array<bool, CallSchedule::kSlots> full_requested_{};  // by that call
+  std::vector<FormerAddress> former_addresses_;              // the most recent one last
+  Micros former_until_ = CallSchedule::kNever;  // set once the new address has answered
+  std::vector<SupersededCall> superseded_;      // the oldest first
+  bool need_full_list_ = false;  // the current list may differ from what discovery assumes
+  int last_id_ = kNoCall;
+  Micros poll_at_ = CallSchedule::kNever;
   std::minstd_rand random_;
 };
 
