--- a/src/judge/drain_judge.cpp
+++ b/src/judge/drain_judge.cpp
@@ -8,19 +8,19 @@
   switch (rule) {
     case NotificationRule::AnswerWritten:
       return "an answer was written";
-    case NotificationRule::WatchGoesOn:
+    case NotificationRule::WatchContinued:
       return "it changed between an answer and the next call within 200 ms";
     case NotificationRule::SixSeconds:
       return "6 s after discovery had it";
     case NotificationRule::SilentWatch:
       return "its watch fell silent";
-    case NotificationRule::FailedBeside:
+    case NotificationRule::FailureBesideSilentWatch:
       return "6 s after a call failed beside a silent watch";
-    case NotificationRule::TimeForAsking:
-      return "the time for asking is over";
+    case NotificationRule::PollDelayPassed:
+      return "the maximum poll delay has passed";
     case NotificationRule::Agent:
       return "the agent has it";
-    case NotificationRule::NewAddress:
+    case NotificationRule::AddressChanged:
       return "4 s after SIGHUP";
   }
   return "";
@@ -34,152 +34,155 @@
 }
 
 std::optional<DrainViolation> DrainJudge::process(const DrainRecord& r) {
-  // What counted as told before this event counts still, whatever the event changes.
-  for (auto& [server, leaving] : leaving_) settle(leaving, r.at);
-  last_ = r.at;
+  // What counted before this event still counts, whatever the event changes.
+  for (auto& [server, leaving] : leaving_) apply_rules(leaving, r.at);
+  last_record_ = r.at;
   switch (r.kind) {
     case Kind::ServerLeaves:
-      leaving_.try_emplace(r.server, Leaving{r.at, r.version, std::nullopt});
+      leaving_.try_emplace(r.server, LeavingServer{r.at, r.version, std::nullopt});
       break;
     case Kind::ServerReturns:
       leaving_.erase(r.server);
       break;
     case Kind::AnswerWritten:
-      written(r);
+      record_answer(r);
       break;
     case Kind::DiscoveryUnreachable:
       reachable_since_.reset();
       break;
     case Kind::DiscoveryReachable:
-      reach(r.at);
+      record_reachable(r.at);
       break;
     case Kind::WatchSilent:
-      muted_ = std::max(r.at + kNotifiedAfter, r.until + kAfterSilentWatch);
+      silent_watch_due_ = std::max(r.at + kNotifiedAfter, r.until + kAfterSilentWatch);
       break;
     case Kind::CallStarted:
-      called(r);
+      record_call(r);
       break;
     case Kind::CallFailed:
-      call_failed(r.at);
+      record_call_failure(r.at);
       break;
     case Kind::AddressChanged:
-      // The first one's time runs on, however many follow.
-      if (!hangup_) hangup_ = r.at + kAfterAddressChange;
+      // The time counts from the first change of address, however many follow.
+      if (!address_change_due_) address_change_due_ = r.at + kAfterAddressChange;
       break;
     case Kind::ProcessStarted:
-      started(r.at);
+      record_process_start(r.at);
       break;
     case Kind::RequestSent:
-      return judge(r);
+      return check_request(r);
   }
   return std::nullopt;
 }
 
-void DrainJudge::written(const DrainRecord& r) {
+void DrainJudge::record_answer(const DrainRecord& r) {
   for (auto& [server, leaving] : leaving_)
     if (r.version == 0 || r.version >= leaving.version)
-      tell(leaving, r.at, NotificationRule::AnswerWritten);
-  muted_.reset(), hangup_.reset(), failed_at_.reset();
-  written_at_ = r.at;
-  call_out_ = call_failed_ = false;
+      set_notified(leaving, r.at, NotificationRule::AnswerWritten);
+  silent_watch_due_.reset(), address_change_due_.reset(), failed_beside_silent_.reset();
+  last_answer_ = r.at;
+  call_in_flight_ = call_failed_ = false;
 }
 
-void DrainJudge::called(const DrainRecord& r) {
-  bool goes_on = !rules_.pushed && written_at_ && r.at - *written_at_ <= kSameWatchGap;
-  if (goes_on)
+void DrainJudge::record_call(const DrainRecord& r) {
+  bool continues_watch = !options_.pushed && last_answer_ && r.at - *last_answer_ <= kSameWatchGap;
+  if (continues_watch)
     for (auto& [server, leaving] : leaving_)
-      if (leaving.left >= *written_at_) tell(leaving, r.at, NotificationRule::WatchGoesOn);
-  written_at_.reset();
-  called_ = r.at;
-  call_out_ = true, call_failed_ = false;
+      if (leaving.left_at >= *last_answer_)
+        set_notified(leaving, r.at, NotificationRule::WatchContinued);
+  last_answer_.reset();
+  last_call_ = r.at;
+  call_in_flight_ = true, call_failed_ = false;
 }
 
-void DrainJudge::call_failed(Micros now) {
-  if (muted_ && !failed_at_) failed_at_ = now;
-  call_out_ = false, call_failed_ = true;
+void DrainJudge::record_call_failure(Micros now) {
+  if (silent_watch_due_ && !failed_beside_silent_) failed_beside_silent_ = now;
+  call_in_flight_ = false, call_failed_ = true;
 }
 
-/// Nothing a process was told outlives it.
-void DrainJudge::started(Micros now) {
-  for (auto& [server, leaving] : leaving_) leaving.told.reset();
-  called_.reset(), muted_.reset(), hangup_.reset(), failed_at_.reset(), written_at_.reset();
-  call_out_ = call_failed_ = false;
-  started_ = now;
+/// A new process has not been notified of anything.
+void DrainJudge::record_process_start(Micros now) {
+  for (auto& [server, leaving] : leaving_) leaving.notified.reset();
+  last_call_.reset(), silent_watch_due_.reset(), address_change_due_.reset(),
+      failed_beside_silent_.reset(), last_answer_.reset();
+  call_in_flight_ = call_failed_ = false;
+  process_start_ = now;
 }
 
-/// What a silent watch missed, or another address has, can be asked for only from here on.
-void DrainJudge::reach(Micros now) {
+/// Changes that a silent watch missed, or that the new address has, can be requested from now on.
+void DrainJudge::record_reachable(Micros now) {
   reachable_since_ = now;
-  if (muted_) muted_ = std::max(*muted_, now + kNotifiedAfter);
-  if (hangup_ && !rules_.pushed) hangup_ = std::max(*hangup_, now + kNotifiedAfter);
+  if (silent_watch_due_) silent_watch_due_ = std::max(*silent_watch_due_, now + kNotifiedAfter);
+  if (address_change_due_ && !options_.pushed)
+    address_change_due_ = std::max(*address_change_due_, now + kNotifiedAfter);
 }
 
-void DrainJudge::tell(Leaving& leaving, Micros at, NotificationRule rule) {
-  if (!leaving.told || at < leaving.told->at) leaving.told = Told{at, rule};
+void DrainJudge::set_notified(LeavingServer& leaving, Micros at, NotificationRule rule) {
+  if (!leaving.notified || at < leaving.notified->at) leaving.notified = Notification{at, rule};
 }
 
-Micros DrainJudge::had(const Leaving& leaving) const {
-  return std::max(leaving.left, *reachable_since_);
+Micros DrainJudge::available_since(const LeavingServer& leaving) const {
+  return std::max(leaving.left_at, *reachable_since_);
 }
 
-/// A silent watch has its own time, which may be later.
-DrainJudge::Time DrainJudge::by_six_seconds(const Leaving& leaving) const {
-  if (muted_) return std::nullopt;
-  return std::max(had(leaving) + kNotifiedAfter, started_ + rules_.first_call);
+/// Does not apply while a watch is silent: that has its own time, which may be later.
+DrainJudge::Time DrainJudge::by_six_seconds(const LeavingServer& leaving) const {
+  if (silent_watch_due_) return std::nullopt;
+  return std::max(available_since(leaving) + kNotifiedAfter, process_start_ + options_.first_call);
 }
 
-DrainJudge::Time DrainJudge::by_silent_watch(const Leaving& leaving) const {
-  if (!muted_) return std::nullopt;
-  return std::max(*muted_, had(leaving));
+DrainJudge::Time DrainJudge::by_silent_watch(const LeavingServer& leaving) const {
+  if (!silent_watch_due_) return std::nullopt;
+  return std::max(*silent_watch_due_, available_since(leaving));
 }
 
-DrainJudge::Time DrainJudge::by_failure_beside(const Leaving& leaving) const {
-  if (!muted_ || !failed_at_) return std::nullopt;
-  return std::max(had(leaving), *failed_at_) + kNotifiedAfter;
+DrainJudge::Time DrainJudge::by_failure_beside_silent_watch(const LeavingServer& leaving) const {
+  if (!silent_watch_due_ || !failed_beside_silent_) return std::nullopt;
+  return std::max(available_since(leaving), *failed_beside_silent_) + kNotifiedAfter;
 }
 
-DrainJudge::Time DrainJudge::by_time_for_asking(const Leaving& leaving) const {
-  if (rules_.pushed || call_out_) return std::nullopt;
-  Micros counted = leaving.left + rules_.ask_within;
-  if (!called_) return std::max(counted, started_ + rules_.first_call);
-  // Held to the list that it has until then; counted anew when discovery is back.
-  Micros held = *called_ + rules_.ask_within * (call_failed_ ? 4 : 1);
-  return std::max({counted, held, *reachable_since_ + rules_.ask_within});
+DrainJudge::Time DrainJudge::by_poll_delay(const LeavingServer& leaving) const {
+  if (options_.pushed || call_in_flight_) return std::nullopt;
+  Micros counted = leaving.left_at + options_.max_poll_delay;
+  if (!last_call_) return std::max(counted, process_start_ + options_.first_call);
+  // Until then the router may act on the list that it has; counted anew when discovery is back.
+  Micros list_valid_until = *last_call_ + options_.max_poll_delay * (call_failed_ ? 4 : 1);
+  return std::max({counted, list_valid_until, *reachable_since_ + options_.max_poll_delay});
 }
 
-/// After SIGHUP it counts 4 s later.
-DrainJudge::Time DrainJudge::by_agent(const Leaving& leaving) const {
-  if (!rules_.pushed || hangup_) return std::nullopt;
-  return had(leaving);
+/// Does not apply after SIGHUP, where it counts 4 s later.
+DrainJudge::Time DrainJudge::by_agent(const LeavingServer& leaving) const {
+  if (!options_.pushed || address_change_due_) return std::nullopt;
+  return available_since(leaving);
 }
 
-DrainJudge::Time DrainJudge::by_new_address(const Leaving& leaving) const {
-  if (!hangup_) return std::nullopt;
-  return std::max(*hangup_, had(leaving));
+DrainJudge::Time DrainJudge::by_new_address(const LeavingServer& leaving) const {
+  if (!address_change_due_) return std::nullopt;
+  return std::max(*address_change_due_, available_since(leaving));
 }
 
-void DrainJudge::settle(Leaving& leaving, Micros now) {
+void DrainJudge::apply_rules(LeavingServer& leaving, Micros now) {
   if (!reachable_since_) return;
   auto by = [&](Time at, NotificationRule rule) {
     if (!at) return;
-    // A sentence that holds only since the last record tells nothing of before.
-    Micros told = std::max({*at, started_, last_});
-    if (told <= now) tell(leaving, told, rule);
+    // A rule that applies only since the last record says nothing about earlier times.
+    Micros notified = std::max({*at, process_start_, last_record_});
+    if (notified <= now) set_notified(leaving, notified, rule);
   };
   by(by_agent(leaving), NotificationRule::Agent);
-  by(by_new_address(leaving), NotificationRule::NewAddress);
+  by(by_new_address(leaving), NotificationRule::AddressChanged);
   by(by_silent_watch(leaving), NotificationRule::SilentWatch);
   by(by_six_seconds(leaving), NotificationRule::SixSeconds);
-  by(by_failure_beside(leaving), NotificationRule::FailedBeside);
-  by(by_time_for_asking(leaving), NotificationRule::TimeForAsking);
+  by(by_failure_beside_silent_watch(leaving), NotificationRule::FailureBesideSilentWatch);
+  by(by_poll_delay(leaving), NotificationRule::PollDelayPassed);
 }
 
-std::optional<DrainViolation> DrainJudge::judge(const DrainRecord& r) const {
+std::optional<DrainViolation> DrainJudge::check_request(const DrainRecord& r) const {
   auto at = leaving_.find(r.server);
-  if (at == leaving_.end() || !at->second.told) return std::nullopt;
-  const Told& told = *at->second.told;
-  if (r.at <= told.at + rules_.grace + rules_.slack) return std::nullopt;
-  return DrainViolation{r.server, at->second.left, told.at, r.at, told.rule};
+  if (at == leaving_.end() || !at->second.notified) return std::nullopt;
+  const Notification& notified = *at->second.notified;
+  if (r.at <= notified.at + options_.grace + options_.slack) return std::nullopt;
+  return DrainViolation{r.server, at->second.left_at, notified.at, r.at, notified.rule};
 }
 
 }  // namespace arrowfork::judge
--- a/src/tier/checker.cpp
+++ b/src/tier/checker.cpp
@@ -253,7 +253,7 @@
   judge::DrainJudgeOptions rules;
   rules.pushed = scenario_.pushed;
   rules.grace = figures_.drain_grace;
-  rules.ask_within = scenario_.ask_within;
+  rules.max_poll_delay = scenario_.ask_within;
   rules.slack = scenario_.slack;
   rules.first_call = 0;
   std::vector<judge::DrainJudge> judges(static_cast<std::size_t>(scenario_.routers),
--- a/tests/membership/drain_judge_test.cpp
+++ b/tests/membership/drain_judge_test.cpp
@@ -159,7 +159,7 @@
 
 TEST(DrainJudge, TheTimeForAskingCountsWhereItIsShort) {
   DrainJudgeOptions rules;
-  rules.ask_within = kSecond;
+  rules.max_poll_delay = kSecond;
   const std::vector<Case> short_times{
       {"held to its list for the time from its last call, then so long after each change",
        false,
