--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -82,7 +82,7 @@
 
   bool has_no_work() const { return slots_.empty() && out_.empty() && !in_command(); }
   bool idle() const { return has_no_work() && between_requests(); }
-  bool in_command() const { return (codec_ && codec_->in_command()) || !held_.empty(); }
+  bool in_command() const { return (codec_ && codec_->in_command()) || !unparsed_input_.empty(); }
 
   /// False also after quiet commands: the client is still owed the answer to their barrier.
   bool between_requests() const { return !in_command() && !(codec_ && codec_->awaits_barrier()); }
@@ -136,12 +136,12 @@
     last_read_at_ = side_.clock_.now();
     if (!in_command()) since_ = last_read_at_;
     std::string_view in(side_.scratch_.get(), static_cast<std::size_t>(got));
-    if (held_.empty()) {
+    if (unparsed_input_.empty()) {
       parse(in);
-      held_.assign(in);
+      unparsed_input_.assign(in);
     } else {
-      held_.append(in);
-      parse_held();
+      unparsed_input_.append(in);
+      parse_buffered();
     }
     update_reading();
   }
@@ -210,10 +210,10 @@
     side_.held_bytes_ -= bytes;
   }
 
-  void parse_held() {
-    std::string_view in = held_;
+  void parse_buffered() {
+    std::string_view in = unparsed_input_;
     parse(in);
-    held_.erase(0, held_.size() - in.size());
+    unparsed_input_.erase(0, unparsed_input_.size() - in.size());
   }
 
   /// Reserves bytes for a large value; the connection is not read further without them.
@@ -237,9 +237,9 @@
     eof_ = true;
     event_del(read_.get());
     notify_client_left();
-    if (!waits_for_bulk_) parse_held();
-    if (waits_for_bulk_) held_.clear();
-    if (slots_.empty() && out_.empty() && held_.empty()) side_.close(*this);
+    if (!waits_for_bulk_) parse_buffered();
+    if (waits_for_bulk_) unparsed_input_.clear();
+    if (slots_.empty() && out_.empty() && unparsed_input_.empty()) side_.close(*this);
   }
 
   void notify_client_left() {
@@ -309,7 +309,7 @@
       side_.close(*this);
       return;
     }
-    if (eof_ && !held_.empty()) parse_held();
+    if (eof_ && !unparsed_input_.empty()) parse_buffered();
     if (out_.empty() && slots_.empty()) {
       if (eof_ || broken_ || over_limit_) {
         finish();
@@ -320,7 +320,7 @@
         return;
       }
     }
-    if (!held_.empty() && !closed_) parse_held();
+    if (!unparsed_input_.empty() && !closed_) parse_buffered();
     update_reading();
   }
 
@@ -350,7 +350,7 @@
   void update_reading() {
     if (closed_ || eof_ || lingering_) return;
     reserve_bulk();
-    bool want = held_.empty() && !broken_ && may_parse();
+    bool want = unparsed_input_.empty() && !broken_ && may_parse();
     // While draining, commands under way are answered and no more are read: later input is for the
     // next process, or crosses our close.
     if (side_.draining_ && !slots_.empty() && between_requests()) want = false;
@@ -361,7 +361,7 @@
   }
 
   void sweep(Micros now) {
-    if (!held_.empty() && !waits_for_bulk_) parse_held();  // limits may have freed up
+    if (!unparsed_input_.empty() && !waits_for_bulk_) parse_buffered();  // limits may have freed up
     update_reading();
     if (closed_) return;
     if (side_.closing() && has_no_work() && between_requests() && !lingering_ && !side_.draining_ &&
@@ -409,7 +409,7 @@
   EventPtr read_, write_;
   std::unique_ptr<ClientCodec> codec_;  // null before the first byte
   std::deque<ClientSlot> slots_;
-  std::string held_;  // bytes read but not parsed yet
+  std::string unparsed_input_;  // bytes read but not parsed yet
   std::string out_;
   std::size_t out_at_ = 0;
   std::size_t held_bytes_ = 0;  // of slots_ and out_; also counted in ClientSide::held_bytes_
@@ -643,7 +643,7 @@
 }
 
 void ClientSide::flush() {
-  // Flushing may parse held commands, whose answers mark a connection dirty again.
+  // Flushing may parse buffered commands, whose answers mark a connection dirty again.
   for (std::size_t k = 0; k < dirty_.size(); ++k) {
     ClientConnection* c = dirty_[k];
     c->dirty_ = false;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -121,7 +121,7 @@
       servers_(base, clock_, *this, server_limits(config), &config_.settings.report_fields),
       clients_(base, clock_, core_, servers_, client_limits(config)),
       discovery_(base, clock_, config.discovery, config.known, subscription_options(config), *this),
-      ban_file_(state_path(config, ".bans")),
+      disabled_servers_file_(state_path(config, ".bans")),
       recovery_(config.settings.routers, clock.now(), kListFreshTime),
       last_heartbeat_at_(clock.now()) {
   timer_event_.reset(event_new(base, -1, 0, on_timer, this));
@@ -151,11 +151,11 @@
       }
     }
     std::string error;
-    if (auto disabled = ban_file_.read_if_changed(error))
-      hand_.set_disabled(*disabled, clock_.now());
+    if (auto disabled = disabled_servers_file_.read_if_changed(error))
+      operator_overrides_.set_disabled(*disabled, clock_.now());
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
-  HostList known = hand_.apply_list(config_.known);
+  HostList known = operator_overrides_.apply_list(config_.known);
   servers_.apply_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
   recovery_.handed(clock_.now(), has_ready_server());
@@ -274,20 +274,21 @@
 
 void Router::apply(HostList&& discovered) {
   log_leaving(discovered);
-  HostList list = hand_.apply_list(std::move(discovered));
+  HostList list = operator_overrides_.apply_list(std::move(discovered));
   servers_.apply_list(list);
   core_.list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
 
 void Router::on_drains(const HostList& list, bool drain_unlisted) {
-  HostList drains = extract_drains(list, drain_unlisted, hand_.discovered_hosts());
+  HostList drains = extract_drains(list, drain_unlisted, operator_overrides_.discovered_hosts());
   if (!drains.hosts.empty()) apply(std::move(drains));
 }
 
 void Router::on_hosts(HostList&& discovered) {
   apply(std::move(discovered));
   recovery_.told(clock_.now(), has_ready_server());
-  if (list_persistence_) list_persistence_->on_list_confirmed(hand_.discovered_list());
+  if (list_persistence_)
+    list_persistence_->on_list_confirmed(operator_overrides_.discovered_list());
   take_over_if_ready();
 }
 
@@ -306,7 +307,7 @@
   std::string names;
   std::unordered_map<std::string_view, Health> now;
   for (const Host& h : list.hosts) now[h.server.id] = h.server.health;
-  for (const auto& [id, current] : hand_.effective_hosts()) {
+  for (const auto& [id, current] : operator_overrides_.effective_hosts()) {
     auto at = now.find(id);
     bool leaves = at != now.end() ? at->second != Health::Ready : list.full;
     if (leaves && current.server.health == Health::Ready && ++count <= kMaxNamed) names += ' ' + id;
@@ -320,7 +321,7 @@
 
 bool Router::has_ready_server() const {
   return std::any_of(
-      hand_.effective_hosts().begin(), hand_.effective_hosts().end(),
+      operator_overrides_.effective_hosts().begin(), operator_overrides_.effective_hosts().end(),
       [](const auto& entry) { return entry.second.server.health == robinseam::Health::Ready; });
 }
 
@@ -415,9 +416,9 @@
 }
 
 std::string Router::set_server_disabled(const std::string& id, bool disable) {
-  if (!hand_.is_known(id)) return control_answer(404, "no such cache server\n");
+  if (!operator_overrides_.is_known(id)) return control_answer(404, "no such cache server\n");
   std::string error;
-  auto disabled = ban_file_.set_disabled(id, disable, clock_.now(), error);
+  auto disabled = disabled_servers_file_.set_disabled(id, disable, clock_.now(), error);
   if (!disabled) {
     std::fprintf(stderr, "arrowfork: %s: %s: %s\n", disable ? "disable" : "enable", id.c_str(),
                  error.c_str());
@@ -430,7 +431,7 @@
 }
 
 void Router::apply_disabled_servers(const DisabledServers& disabled) {
-  HostList part = hand_.set_disabled(disabled, clock_.now());
+  HostList part = operator_overrides_.set_disabled(disabled, clock_.now());
   if (part.hosts.empty()) return;
   servers_.apply_list(part);
   core_.list(ListScope::Delta, servers_of(part));
@@ -450,12 +451,13 @@
   }
   json["backend_calls"] = servers_.counts().written;
   json["inflight"] = core_.unanswered() + clients_.streaming_values();
-  json["hosts_listed"] = hand_.effective_hosts().size();
-  json["hosts_down"] = std::count_if(
-      hand_.effective_hosts().begin(), hand_.effective_hosts().end(), [this](const auto& entry) {
-        return entry.second.server.health != robinseam::Health::Ready ||
-               core_.live_fraction(entry.first) < kMinLiveShare;
-      });
+  json["hosts_listed"] = operator_overrides_.effective_hosts().size();
+  json["hosts_down"] =
+      std::count_if(operator_overrides_.effective_hosts().begin(),
+                    operator_overrides_.effective_hosts().end(), [this](const auto& entry) {
+                      return entry.second.server.health != robinseam::Health::Ready ||
+                             core_.live_fraction(entry.first) < kMinLiveShare;
+                    });
   json["reconfig_ok"] = reloads_ok_;
   json["reconfig_failed"] = reloads_failed_;
   return json.dump();
@@ -464,7 +466,8 @@
 void Router::on_tick(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   std::string error;
-  if (auto disabled = r->ban_file_.read_if_changed(error)) r->apply_disabled_servers(*disabled);
+  if (auto disabled = r->disabled_servers_file_.read_if_changed(error))
+    r->apply_disabled_servers(*disabled);
   if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   r->handover_->report_held_descriptors(r->descriptors_in_use());
 }
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -82,7 +82,7 @@
   std::string on_control_call(const ControlCall& call) override;
   // Handover::Handler
   int listening_socket() override { return clients_.listener(); }
-  std::string server_list() override { return text_of(hand_.discovered_list()); }
+  std::string server_list() override { return text_of(operator_overrides_.discovered_list()); }
   void on_successor_ready() override;
   void on_successor_lost() override;
   void on_client_handed_over(Fd&& client) override { clients_.adopt(std::move(client)); }
@@ -131,8 +131,8 @@
   ServerSide servers_;
   ClientSide clients_;
   Discovery discovery_;
-  OperatorOverrides hand_;
-  DisabledServersFile ban_file_;
+  OperatorOverrides operator_overrides_;
+  DisabledServersFile disabled_servers_file_;
   mutable robinseam::recovery::Recovery recovery_;  // view() also advances its phase with time
   robinseam::recovery::Phase logged_phase_ = robinseam::recovery::Phase::Starting;
   bool logged_overdue_ = false;
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -157,7 +157,7 @@
 void Router::log_states() {
   std::string line;
   std::set<std::string> down;
-  for (const auto& [id, host] : hand_.effective_hosts()) {
+  for (const auto& [id, host] : operator_overrides_.effective_hosts()) {
     if (host.server.health != robinseam::Health::Ready) continue;
     bool is_down = core_.live_fraction(id) < kDownLiveShare;
     if (is_down) down.insert(id);
--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -314,12 +314,12 @@
     spare_ = who == 0 ? &b_ : &a_;
     hit_ = who == 0 ? &a_ : &b_;
     link_ = hit_->accept();
-    asked_ = command_of(read_packet(link_));
+    command_ = command_of(read_packet(link_));
   }
   void expect_retry() {
     TestConnection second = spare_->accept();
     binary::Command c = command_of(read_packet(second));
-    EXPECT_EQ(c.key, asked_.key);
+    EXPECT_EQ(c.key, command_.key);
     second.write(served(c, "fine"));
     EXPECT_EQ(read_answer(client_).value, "fine");
   }
@@ -328,12 +328,12 @@
   std::unique_ptr<RunningRouter> router_;
   Peer *hit_ = nullptr, *spare_ = nullptr;
   TestConnection client_, link_;
-  binary::Command asked_;
+  binary::Command command_;
 };
 
 TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpaqueIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
-  binary::Command wrong = asked_;
+  binary::Command wrong = command_;
   ++wrong.opaque;
   link_.write(served(wrong, "wrong"));
   expect_retry();
@@ -342,7 +342,7 @@
 
 TEST_F(FailedBinaryAttempt, AnswerWithAnotherKeyIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
-  binary::Command wrong = asked_;
+  binary::Command wrong = command_;
   wrong.key = "kez";
   link_.write(served(wrong, "wrong"));
   expect_retry();
@@ -351,7 +351,7 @@
 
 TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpcodeIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
-  link_.write(binary::response(Opcode::Set, 0, asked_.opaque, {}, {}, 0, 5));
+  link_.write(binary::response(Opcode::Set, 0, command_.opaque, {}, {}, 0, 5));
   expect_retry();
   EXPECT_TRUE(link_.is_closed());
 }
@@ -360,7 +360,7 @@
   std::size_t whole = served({Opcode::GetK, 0, 0, 0, 0, "key", ""}, "wrong").size();
   for (std::size_t size = 0; size < whole; ++size) {
     start(packet(Opcode::Get, 1, "key"));
-    link_.write(std::string_view(served(asked_, "wrong")).substr(0, size));
+    link_.write(std::string_view(served(command_, "wrong")).substr(0, size));
     link_.close();
     expect_retry();
   }
@@ -368,7 +368,7 @@
 
 TEST_F(FailedBinaryAttempt, BytesAfterAValidAnswerOnlyCloseTheirConnection) {
   start(packet(Opcode::Get, 1, "key"));
-  link_.write(served(asked_, "good") + served(asked_, "again"));
+  link_.write(served(command_, "good") + served(command_, "again"));
   EXPECT_EQ(read_answer(client_).value, "good");
   EXPECT_TRUE(link_.is_closed());
   EXPECT_TRUE(client_.stays_silent(50));
--- a/tests/binary/pairs_test.cpp
+++ b/tests/binary/pairs_test.cpp
@@ -31,7 +31,7 @@
   struct Arrival {
     TestConnection* link;
     std::size_t server;
-    ReceivedCommand asked;
+    ReceivedCommand command;
   };
   /// Waits for the next command at a server, on a new connection or an open one.
   Arrival arrival() {
@@ -102,10 +102,10 @@
     for (std::uint32_t flags : {0u, 5u, 0xffffffffu}) {
       std::string key = "key" + std::to_string(flags);
       p.scripted_client.get(p.client, key, key);
-      auto [link, who, asked] = p.arrival();
-      EXPECT_FALSE(asked.write);
-      EXPECT_EQ(asked.key, key);
-      p.server.serve(*link, asked, kValue, flags);
+      auto [link, who, command] = p.arrival();
+      EXPECT_FALSE(command.write);
+      EXPECT_EQ(command.key, key);
+      p.server.serve(*link, command, kValue, flags);
       ClientReply reply = p.scripted_client.read_reply(p.client);
       EXPECT_EQ(reply.what, "value");
       EXPECT_EQ(reply.text, kValue);
@@ -120,8 +120,8 @@
     for (std::size_t size : {std::size_t{0}, kMaxValue}) {
       std::string value(size, 'v'), id = "i" + std::to_string(size);
       p.scripted_client.get(p.client, "key", id);
-      auto [link, who, asked] = p.arrival();
-      p.server.serve(*link, asked, value, 1);
+      auto [link, who, command] = p.arrival();
+      p.server.serve(*link, command, value, 1);
       EXPECT_EQ(p.scripted_client.read_reply(p.client).text, value);
       p.scripted_client.set(p.client, "put", "key", value, 1, kIdempotency, "w" + id);
       auto [to, whom, written] = p.arrival();
@@ -136,13 +136,13 @@
   run_for_all_pairs([](ProtocolPair& p) {
     p.start();
     p.scripted_client.set(p.client, "put", "key", kValue, 77, kIdempotency, "w1");
-    auto [link, who, asked] = p.arrival();
-    EXPECT_TRUE(asked.write);
-    EXPECT_EQ(asked.key, "key");
-    EXPECT_EQ(asked.value, kValue);
-    EXPECT_EQ(asked.flags, 77u);
-    EXPECT_EQ(asked.idempotency, kIdempotency);
-    p.server.store(*link, asked, kReceipt);
+    auto [link, who, command] = p.arrival();
+    EXPECT_TRUE(command.write);
+    EXPECT_EQ(command.key, "key");
+    EXPECT_EQ(command.value, kValue);
+    EXPECT_EQ(command.flags, 77u);
+    EXPECT_EQ(command.idempotency, kIdempotency);
+    p.server.store(*link, command, kReceipt);
     ClientReply reply = p.scripted_client.read_reply(p.client);
     EXPECT_EQ(reply.what, "receipt");
     EXPECT_EQ(reply.text, kReceipt);
@@ -153,20 +153,20 @@
   run_for_all_pairs([](ProtocolPair& p) {
     p.start();
     p.scripted_client.get(p.client, "key", "b1");
-    auto [first, who, asked] = p.arrival();
-    p.server.busy(*first, asked);
-    auto [second, other, again] = p.arrival();
+    auto [first, who, command] = p.arrival();
+    p.server.busy(*first, command);
+    auto [second, other, retry] = p.arrival();
     EXPECT_NE(who, other);
-    EXPECT_EQ(again.key, "key");
-    p.server.serve(*second, again, "fine", 0);
+    EXPECT_EQ(retry.key, "key");
+    p.server.serve(*second, retry, "fine", 0);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine");
     p.scripted_client.get(p.client, "key", "b2");
-    auto [third, which, asked2] = p.arrival();
+    auto [third, which, command2] = p.arrival();
     third->send_reset();
     p.remove_connection(third);
-    auto [fourth, spare, again2] = p.arrival();
+    auto [fourth, spare, retry2] = p.arrival();
     EXPECT_NE(which, spare);
-    p.server.serve(*fourth, again2, "fine too", 0);
+    p.server.serve(*fourth, retry2, "fine too", 0);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine too");
   });
 }
@@ -176,7 +176,7 @@
     p.write_once();
     p.start();
     p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "p1");
-    auto [link, who, asked] = p.arrival();
+    auto [link, who, command] = p.arrival();
     link->send_reset();
     p.remove_connection(link);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
@@ -188,13 +188,13 @@
   run_for_all_pairs([](ProtocolPair& p) {
     p.start();
     p.scripted_client.set(p.client, "put", "key", "v", 0, kIdempotency, "k1");
-    auto [link, who, asked] = p.arrival();
+    auto [link, who, command] = p.arrival();
     link->send_reset();
     p.remove_connection(link);
-    auto [second, other, again] = p.arrival();
+    auto [second, other, retry] = p.arrival();
     EXPECT_NE(who, other);
-    EXPECT_EQ(again.idempotency, kIdempotency);
-    p.server.store(*second, again, kReceipt);
+    EXPECT_EQ(retry.idempotency, kIdempotency);
+    p.server.store(*second, retry, kReceipt);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).text, kReceipt);
   });
 }
@@ -215,15 +215,15 @@
     p.write_once();
     p.start();
     p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "s1");
-    auto [link, who, asked] = p.arrival();
+    auto [link, who, command] = p.arrival();
     p.clock.advance(21 * kSecond);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
     p.scripted_client.get(p.client, "key", "s2");
-    p.server.store(*link, asked, kReceipt);  // late; the router has abandoned the connection
+    p.server.store(*link, command, kReceipt);  // late; the router has abandoned the connection
     p.remove_connection(link);
-    auto [second, other, again] = p.arrival();
-    EXPECT_FALSE(again.write);
-    p.server.serve(*second, again, "fine", 0);
+    auto [second, other, retry] = p.arrival();
+    EXPECT_FALSE(retry.write);
+    p.server.serve(*second, retry, "fine", 0);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).text, "fine");
   });
 }
@@ -250,8 +250,8 @@
     p.write_once();
     p.start();
     p.scripted_client.set(p.client, "pay", "key", "v", 0, "", "e1");
-    auto [link, who, asked] = p.arrival();
-    p.server.fail(*link, asked);
+    auto [link, who, command] = p.arrival();
+    p.server.fail(*link, command);
     EXPECT_EQ(p.scripted_client.read_reply(p.client).what, "failed");
   });
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -656,11 +656,11 @@
 /// Two good servers and one that serves a fifth of its requests and answers the rest with
 /// `failure`.
 void expect_outlier_is_avoided(const std::string& failure) {
-  std::atomic<int> asked{0};
+  std::atomic<int> request_count{0};
   const std::string load = " Lload_share=0.2,mean_ms=4,x0=0.9";
   auto good = [&](const std::string& line) { return value_answer(id_of(line), "v", load); };
   ServingPeer first(good), second(good), bad([&](const std::string&line) {
-    return ++asked % 5 == 0 ? good(line) : failure + load + "\r\n";
+    return ++request_count % 5 == 0 ? good(line) : failure + load + "\r\n";
   });
   ConfigText c;
   c.hosts = {host_json("s-1", first.address()), host_json("s-2", second.address()),
@@ -669,15 +669,15 @@
   TestConnection client = router.client();
   int unserved = 0;
   for (int k = 0; k < 600; ++k) {
-    if (k == 300) asked = 0, unserved = 0;
+    if (k == 300) request_count = 0, unserved = 0;
     client.write(get("o" + std::to_string(k), "key" + std::to_string(k)));
     if (client.line().substr(0, 2) == "VA")
       client.line();
     else
       ++unserved;
   }
-  EXPECT_LT(asked, 60) << failure;  // its share would be about 100
-  EXPECT_GT(asked, 0) << failure;   // it is still probed
+  EXPECT_LT(request_count, 60) << failure;  // its share would be about 100
+  EXPECT_GT(request_count, 0) << failure;   // it is still probed
   EXPECT_LE(unserved, 3) << failure;
 }
 
@@ -692,9 +692,9 @@
 // Guards against refusals when connections break under one request in five at every server: these
 // breaks cost the servers almost nothing, but their retries used up the retry budget.
 TEST(Router, RequestsOnBrokenConnectionsAreServedByOtherServers) {
-  std::atomic<int> asked{0};
+  std::atomic<int> request_count{0};
   auto serve = [&](const std::string& line) {
-    return ++asked % 5 == 0 ? std::string() : value_answer(id_of(line), "v");
+    return ++request_count % 5 == 0 ? std::string() : value_answer(id_of(line), "v");
   };
   ServingPeer first(serve), second(serve), third(serve);
   ConfigText c;
@@ -762,21 +762,21 @@
   /// Sends one attempt and cancels it once it has been written completely.
   void send_and_cancel() {
     Request r;
-    r.key = "key", r.id = "S" + std::to_string(++asked), r.type = "read", r.tenant = "acme";
+    r.key = "key", r.id = "S" + std::to_string(++request_count), r.type = "read", r.tenant = "acme";
     std::uint64_t written = side.counts().written;
     int unsent = ends[Status::Moot];
-    side.send("s-1", asked, 0, r, kSecond);
+    side.send("s-1", request_count, 0, r, kSecond);
     while (side.counts().written == written && ends[Status::Moot] == unsent) {
       side.flush();
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
-    side.cancel("s-1", asked, 0);
+    side.cancel("s-1", request_count, 0);
   }
   EventBasePtr base{event_base_new()};
   FrozenClock clock;
   ServerSide side;
   std::map<Status, int> ends;
-  RequestId asked = 0;
+  RequestId request_count = 0;
 };
 
 // Guards against one handshake per abandoned attempt; a run once made 939 in 5 s.
