--- a/tests/membership/drain_judge_test.cpp
+++ b/tests/membership/drain_judge_test.cpp
@@ -1,5 +1,5 @@
-// The judge itself, on records made by hand: for each sentence of the protocol the last send that
-// keeps it and the first that breaks it.
+// DrainJudge on hand-written records: for each notification rule the last request that keeps the
+// grace and the first one that violates it.
 #include "judge/drain_judge.hpp"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 struct Case {
   const char* what;
   bool pushed;
-  std::vector<DrainRecord> records;  ///< what went before
-  Micros told;                       ///< when the change of server 1 counts
+  std::vector<DrainRecord> records;  ///< before the requests
+  Micros notified;                   ///< when the change of server 1 counts
 };
 
 DrainRecord record(Micros at, Kind kind, int server = -1, Micros until = 0) {
@@ -38,36 +38,36 @@
        {record(0, Kind::CallStarted), record(kSecond, Kind::DiscoveryUnreachable),
         record(2 * kSecond, Kind::ServerLeaves, 1), record(9 * kSecond, Kind::DiscoveryReachable)},
        15 * kSecond},
-      {"6 s also where calls were turned away after waiting: it could be reached",
+      {"6 s also if calls were refused after waiting: discovery could be reached",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::ServerLeaves, 1),
         record(3 * kSecond, Kind::CallFailed), record(4 * kSecond, Kind::CallStarted),
         record(6 * kSecond, Kind::CallFailed)},
        7 * kSecond},
-      {"a call right behind an answer: what changed in between",
+      {"a call right after an answer: changes in between",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::AnswerWritten),
         record(kSecond + 3 * kMilli, Kind::ServerLeaves, 1),
         record(kSecond + 10 * kMilli, Kind::CallStarted)},
        kSecond + 10 * kMilli},
-      {"a call 200 ms behind an answer, the last that goes on",
+      {"a call 200 ms after an answer, the latest that continues the watch",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::AnswerWritten),
         record(kSecond + 3 * kMilli, Kind::ServerLeaves, 1),
         record(kSecond + 200 * kMilli, Kind::CallStarted)},
        kSecond + 200 * kMilli},
-      {"a later call is a new watch and owes nothing of the gap",
+      {"a later call is a new watch: changes in the gap do not count at once",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::AnswerWritten),
         record(kSecond + 3 * kMilli, Kind::ServerLeaves, 1),
         record(kSecond + 201 * kMilli, Kind::CallStarted)},
        7 * kSecond + 3 * kMilli},
-      {"no watch: 6 s also where the time for asking is longer",
+      {"no watch: 6 s also if the maximum poll delay is longer",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::AnswerWritten),
         record(2 * kSecond, Kind::ServerLeaves, 1)},
        8 * kSecond},
-      {"a new address hides no earlier sentence",
+      {"a new address does not replace an earlier rule",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::ServerLeaves, 1),
         record(5 * kSecond, Kind::AddressChanged)},
@@ -92,17 +92,17 @@
        {record(0, Kind::CallStarted), record(kSecond, Kind::AddressChanged),
         record(2 * kSecond, Kind::ServerLeaves, 1)},
        5 * kSecond},
-      {"4 s after the first of several",
+      {"4 s after the first SIGHUP of several",
        false,
        {record(0, Kind::CallStarted), record(kSecond, Kind::AddressChanged),
         record(2 * kSecond, Kind::ServerLeaves, 1), record(3 * kSecond, Kind::AddressChanged),
         record(4 * kSecond, Kind::AddressChanged)},
        5 * kSecond},
-      {"never asked: so long after the change as the settings give for asking",
+      {"never polled: maximum poll delay after the change",
        false,
        {record(0, Kind::ProcessStarted), record(kSecond, Kind::ServerLeaves, 1)},
        7 * kSecond},
-      {"never asked: from the first moment of a process, if that has passed",
+      {"never polled: from the start of a process, if the delay has passed",
        false,
        {record(kSecond, Kind::ServerLeaves, 1), record(30 * kSecond, Kind::ProcessStarted)},
        30 * kSecond + DrainJudgeOptions().first_call},
@@ -120,7 +120,7 @@
        {record(0, Kind::CallStarted), record(kSecond, Kind::DiscoveryUnreachable),
         record(2 * kSecond, Kind::ServerLeaves, 1), record(9 * kSecond, Kind::DiscoveryReachable)},
        9 * kSecond},
-      {"an agent has it from the first moment of a process",
+      {"an agent has it from the start of a process",
        true,
        {record(kSecond, Kind::ServerLeaves, 1), record(5 * kSecond, Kind::ProcessStarted)},
        5 * kSecond},
@@ -138,7 +138,7 @@
   return all;
 }
 
-/// Violations where requests go to the server every millisecond up to `until`.
+/// Violations if a request goes to the server every millisecond up to `until`.
 std::size_t violations(const Case& one, const DrainJudgeOptions& rules, Micros until) {
   std::vector<DrainRecord> records = one.records;
   Micros from = records.back().at;
@@ -147,26 +147,26 @@
   return DrainJudge(rules).check(records).size();
 }
 
-TEST(DrainJudge, CatchesTheFirstRequestPastTheGraceUnderEachSentence) {
+TEST(DrainJudge, ReportsTheFirstRequestPastTheGraceUnderEachRule) {
   for (const Case& one : cases()) {
     DrainJudgeOptions rules;
     rules.pushed = one.pushed;
-    Micros last = one.told + rules.grace + rules.slack;
+    Micros last = one.notified + rules.grace + rules.slack;
     EXPECT_EQ(violations(one, rules, last), 0u) << one.what;
     EXPECT_EQ(violations(one, rules, last + kMilli), 1u) << one.what;
   }
 }
 
-TEST(DrainJudge, TheTimeForAskingCountsWhereItIsShort) {
+TEST(DrainJudge, MaximumPollDelayAppliesWhenShort) {
   DrainJudgeOptions rules;
   rules.max_poll_delay = kSecond;
   const std::vector<Case> short_times{
-      {"held to its list for the time from its last call, then so long after each change",
+      {"the list is valid for the delay after the last call, then as long after each change",
        false,
        {record(0, Kind::CallStarted), record(kSecond / 2, Kind::AnswerWritten),
         record(kSecond, Kind::ServerLeaves, 1)},
        2 * kSecond},
-      {"four times as long after a call that failed",
+      {"four times as long after a failed call",
        false,
        {record(0, Kind::CallStarted), record(kSecond / 2, Kind::CallFailed),
         record(kSecond, Kind::ServerLeaves, 1)},
@@ -179,13 +179,13 @@
        9 * kSecond},
   };
   for (const Case& one : short_times) {
-    Micros last = one.told + rules.grace + rules.slack;
+    Micros last = one.notified + rules.grace + rules.slack;
     EXPECT_EQ(violations(one, rules, last), 0u) << one.what;
     EXPECT_EQ(violations(one, rules, last + kMilli), 1u) << one.what;
   }
 }
 
-TEST(DrainJudge, AnAnswerOfAnOlderVersionTellsNothing) {
+TEST(DrainJudge, AnAnswerOfAnOlderVersionDoesNotNotify) {
   DrainRecord leaves = record(kSecond, Kind::ServerLeaves, 1),
               written = record(2 * kSecond, Kind::AnswerWritten);
   leaves.version = 7, written.version = 6;
@@ -195,7 +195,7 @@
   EXPECT_EQ(DrainJudge({}).check({record(0, Kind::CallStarted), leaves, written, sent}).size(), 1u);
 }
 
-TEST(DrainJudge, OneThatReturnsMayBeSentTo) {
+TEST(DrainJudge, RequestsToAServerThatReturnedAreAllowed) {
   DrainJudge checker({});
   EXPECT_TRUE(
       checker
@@ -205,7 +205,7 @@
           .empty());
 }
 
-TEST(DrainJudge, OtherServersAreNoneOfItsBusiness) {
+TEST(DrainJudge, RequestsToOtherServersAreAllowed) {
   DrainJudge checker({});
   EXPECT_TRUE(
       checker
