--- a/src/judge/drain_judge.cpp
+++ b/src/judge/drain_judge.cpp
@@ -145,7 +145,8 @@
   if (options_.pushed || call_in_flight_) return std::nullopt;
   Micros counted = leaving.left_at + options_.max_poll_delay;
   if (!last_call_) return std::max(counted, process_start_ + options_.first_call);
-  // Until then the router may act on the list that it has; counted anew when discovery is back.
+  // Until then the router may act on the list that it has; counted again from the return of
+  // discovery.
   Micros list_valid_until = *last_call_ + options_.max_poll_delay * (call_failed_ ? 4 : 1);
   return std::max({counted, list_valid_until, *reachable_since_ + options_.max_poll_delay});
 }
--- a/src/membership/call_schedule.cpp
+++ b/src/membership/call_schedule.cpp
@@ -14,7 +14,7 @@
 constexpr Micros kNotifiedAfter = 6 * kSecond, kNotifiedAfterWait = 2 * kSecond;
 // The router counts as notified of what an answer held that broke off this long after it.
 constexpr Micros kNotifiedAfterMalformed = 2 * kSecond;
-// A watch's wait is drawn anew each time, so that watches that start together end over 8 s: the
+// A watch's wait is drawn again each time, so that watches that start together end over 8 s: the
 // time in which the slowest site's discovery handles one call of every router.
 constexpr Micros kMinWait = 20 * kSecond;
 // This long before the end of a watch (drawn at random) a poll beside it asks whether it missed
@@ -53,7 +53,7 @@
 constexpr double kRoutersThatQueue = 4;  // with fewer routers the load is not this tier's
 // What an agent has counts at once, so it is called this many times within the grace, less the time
 // for which a router may be delayed. The oldest call is not replaced before its timeout, so that a
-// slow agent is still heard.
+// slow agent can still answer.
 constexpr Micros kMaxRouterDelay = 150 * kMilli;
 constexpr Micros kMinAgentPeriod = 20 * kMilli, kMaxAgentPeriod = 250 * kMilli;
 constexpr int kAgentCallsInGrace = 3;
@@ -261,7 +261,7 @@
     if (one.in_flight && one.started < started) one.in_flight = false;
 }
 
-void CallSchedule::on_answer(Micros now, int slot, bool news, double chance) {
+void CallSchedule::on_answer(Micros now, int slot, bool has_changes, double chance) {
   SlotCall& one = calls_[static_cast<std::size_t>(slot)];
   if (!one.in_flight) return;
   SlotCall ended = one;
@@ -275,12 +275,12 @@
   drop_started_before(ended.started);
   failures_ = unusable_ = queued_ = 0;
   answered_at_ = now;
-  if (news && ended.wait > 0) require_new_watch(now, chance);
+  if (has_changes && ended.wait > 0) require_new_watch(now, chance);
   clear_deadlines();
   for (const SlotCall& other : calls_)
     if (other.in_flight) return;  // a later call, which stays in flight
-  bool early = ended.wait > 0 && !news && took < ended.wait / 2;
-  next_kind_ = news && ended.wait > 0 && !may_queue_ ? Kind::FirstWatch : Kind::Watch;
+  bool early = ended.wait > 0 && !has_changes && took < ended.wait / 2;
+  next_kind_ = has_changes && ended.wait > 0 && !may_queue_ ? Kind::FirstWatch : Kind::Watch;
   next_ = early ? now + static_cast<Micros>(kRenewPause * between(0.5, 1.5, chance)) : now;
   if (pushed_) return;
   next_ = std::max(next_, not_before_);
--- a/src/membership/call_schedule.hpp
+++ b/src/membership/call_schedule.hpp
@@ -70,9 +70,9 @@
   /// Calls in flight may bring an older list than the current one: they are no longer awaited.
   /// Their deadlines stay.
   void abandon_calls();
-  /// A list has been accepted, with changes (`news`) or without. Calls that began before the one in
-  /// that slot are no longer awaited.
-  void on_answer(Micros now, int slot, bool news, double chance);
+  /// A list has been accepted, with changes (`has_changes`) or without. Calls that began before the
+  /// one in that slot are no longer awaited.
+  void on_answer(Micros now, int slot, bool has_changes, double chance);
   /// An answer has arrived, to any call: the next call must be a new watch, not a continued one.
   void require_new_watch(Micros now, double chance);
   /// True if no other call is in flight. The next call is planned here; a caller with no list to
--- a/src/membership/list_subscription.cpp
+++ b/src/membership/list_subscription.cpp
@@ -115,18 +115,18 @@
 void ListSubscription::start_call(const CallSchedule::Call& call, Micros now) {
   auto slot = static_cast<std::size_t>(call.slot);
   cancel_slot(slot, CancelReason::Replaced);
-  ListCall out;
-  out.id = ids_[slot] = ++last_id_;
-  out.address = address_;
-  out.path = kListPath;
-  out.timeout = kCallTimeout;
+  ListCall request;
+  request.id = ids_[slot] = ++last_id_;
+  request.address = address_;
+  request.path = kListPath;
+  request.timeout = kCallTimeout;
   full_requested_[slot] = validator_.version().empty() || need_full_list_;
   if (!full_requested_[slot]) {
     int wait = std::max(kShortWaitMs, static_cast<int>(call.wait / kMillisecond));
-    out.path += "?index=" + escaped(validator_.version()) + "&wait=" + std::to_string(wait);
-    out.timeout += wait * kMillisecond;
+    request.path += "?index=" + escaped(validator_.version()) + "&wait=" + std::to_string(wait);
+    request.timeout += wait * kMillisecond;
   }
-  transport_.start(out);
+  transport_.start(request);
   supersede_dropped(now);
 }
 
@@ -262,8 +262,8 @@
   if (list->full || full_requested_[slot]) need_full_list_ = false;
   if (!former_addresses_.empty() && former_until_ == CallSchedule::kNever)
     former_until_ = now + kSupersededTime;
-  bool news = list->full || !list->hosts.empty();
-  schedule_.on_answer(now, static_cast<int>(slot), news, chance());
+  bool has_changes = list->full || !list->hosts.empty();
+  schedule_.on_answer(now, static_cast<int>(slot), has_changes, chance());
   // The full list is answered at once, not at the end of a watch, so it is requested by a poll,
   // whose silence is noticed as soon.
   if (need_full_list_) watch(now);
--- a/tests/membership/call_schedule_test.cpp
+++ b/tests/membership/call_schedule_test.cpp
@@ -26,7 +26,7 @@
   struct CallInFlight {
     int made = 0;
     Micros started = 0, wait = 0;
-    bool silent = false;  // silent
+    bool silent = false;
   };
   struct Router {
     CallSchedule schedule;
@@ -45,11 +45,11 @@
   }
   void start_call(std::size_t r, CallSchedule::Call call) {
     Router& one = routers[r];
-    CallInFlight& out = one.in_flight[static_cast<std::size_t>(call.slot)];
-    out = {++one.calls, now, call.wait, false};
+    CallInFlight& in_slot = one.in_flight[static_cast<std::size_t>(call.slot)];
+    in_slot = {++one.calls, now, call.wait, false};
     calls_at.push_back(now);
     CallResult result = results ? results(one.calls) : CallResult::Answered;
-    int made = out.made, slot = call.slot;
+    int made = in_slot.made, slot = call.slot;
     Micros begin = std::max(now, busy_until), ready = begin + work_;
     bool down = now >= down_from && now < down_until;
     if (down) result = down_result;
@@ -63,7 +63,7 @@
     else if (result == CallResult::Malformed)
       at(ready, [=, this] { failed(r, slot, made, CallFailure::Malformed); });
     else if (result == CallResult::Silent)
-      out.silent = true;
+      in_slot.silent = true;
     else
       at(ready, [=, this] { handle_call(r, slot, made); });
     at(now + call.wait + 4 * kSecond, [=, this] { failed(r, slot, made, CallFailure::TimedOut); });
@@ -75,27 +75,27 @@
   }
   void handle_call(std::size_t r, int slot, int made) {
     if (!is_in_flight(r, slot, made)) return;
-    CallInFlight& out = routers[r].in_flight[static_cast<std::size_t>(slot)];
+    CallInFlight& in_slot = routers[r].in_flight[static_cast<std::size_t>(slot)];
     // A change ends a watch at once.
-    bool news = changed_at >= 0 && now >= changed_at && routers[r].known_at < 0;
-    if (out.wait == 0 || news)
+    bool has_changes = changed_at >= 0 && now >= changed_at && routers[r].known_at < 0;
+    if (in_slot.wait == 0 || has_changes)
       answer(r, slot, made);
     else
-      at(out.started + out.wait, [=, this] { answer(r, slot, made); });
+      at(in_slot.started + in_slot.wait, [=, this] { answer(r, slot, made); });
   }
   void answer(std::size_t r, int slot, int made) {
     Router& one = routers[r];
     if (!is_in_flight(r, slot, made) || one.in_flight[static_cast<std::size_t>(slot)].silent)
       return;
-    bool news = changed_at >= 0 && now >= changed_at && one.known_at < 0;
-    if (news) one.known_at = now;
-    one.schedule.on_answer(now, slot, news, chance());
+    bool has_changes = changed_at >= 0 && now >= changed_at && one.known_at < 0;
+    if (has_changes) one.known_at = now;
+    one.schedule.on_answer(now, slot, has_changes, chance());
     schedule_timer(r);
   }
-  void failed(std::size_t r, int slot, int made, CallFailure fault) {
+  void failed(std::size_t r, int slot, int made, CallFailure failure) {
     if (!is_in_flight(r, slot, made)) return;
     // The router has a list, so the schedule plans the next call in any case.
-    routers[r].schedule.on_failure(now, slot, fault, chance());
+    routers[r].schedule.on_failure(now, slot, failure, chance());
     schedule_timer(r);
   }
   void schedule_timer(std::size_t r) {
@@ -116,14 +116,15 @@
     down_from = now, down_until = now + span, down_result = as, changed_at = down_until;
     for (std::size_t r = 0; r < routers.size(); ++r)
       for (int slot = 0; slot < CallSchedule::kSlots; ++slot) {
-        CallInFlight& out = routers[r].in_flight[static_cast<std::size_t>(slot)];
+        CallInFlight& in_slot = routers[r].in_flight[static_cast<std::size_t>(slot)];
         if (!routers[r].schedule.in_flight(slot)) continue;
         routers[r].deadline = down_until + 6 * kSecond;
         if (as == CallResult::Silent) {
-          out.silent = true;
-          routers[r].deadline = std::max(routers[r].deadline, out.started + out.wait + 2 * kSecond);
+          in_slot.silent = true;
+          routers[r].deadline =
+              std::max(routers[r].deadline, in_slot.started + in_slot.wait + 2 * kSecond);
         } else {
-          int made = out.made;
+          int made = in_slot.made;
           at(now + kMilli, [=, this] { failed(r, slot, made, CallFailure::Refused); });
         }
       }
@@ -132,11 +133,11 @@
   void fall_silent() {
     changed_at = now;
     for (Router& one : routers) {
-      for (CallInFlight& out : one.in_flight)
-        if (one.schedule.in_flight(static_cast<int>(&out - one.in_flight.data())) && out.wait > 0 &&
-            !out.silent) {
-          out.silent = true;
-          one.deadline = std::max(now + 6 * kSecond, out.started + out.wait + 2 * kSecond);
+      for (CallInFlight& in_slot : one.in_flight)
+        if (one.schedule.in_flight(static_cast<int>(&in_slot - one.in_flight.data())) &&
+            in_slot.wait > 0 && !in_slot.silent) {
+          in_slot.silent = true;
+          one.deadline = std::max(now + 6 * kSecond, in_slot.started + in_slot.wait + 2 * kSecond);
         }
     }
   }
--- a/tests/membership/discovery_world.hpp
+++ b/tests/membership/discovery_world.hpp
@@ -89,10 +89,10 @@
       return at(up_since_ + kShortestReturn, [=, this] { set_mode(mode, delay); });
     if (mode == Mode::Up) up_since_ = now_;
     log(std::string("discovery ") + name_of(mode) + (delay ? " " + seconds(delay) : ""));
-    bool could = reachable();
+    bool was_reachable = reachable();
     mode_ = mode, delay_ = delay;
-    if (could && !reachable()) record_all({now_, DrainRecord::Kind::DiscoveryUnreachable});
-    if (!could && reachable()) record_all({now_, DrainRecord::Kind::DiscoveryReachable});
+    if (was_reachable && !reachable()) record_all({now_, DrainRecord::Kind::DiscoveryUnreachable});
+    if (!was_reachable && reachable()) record_all({now_, DrainRecord::Kind::DiscoveryReachable});
     if (mode == Mode::Refuses || mode == Mode::Resets)
       for (auto& router : routers_) router->end_watches();
     // Open watches hang; those at an agent only in half of the cases.
@@ -100,21 +100,21 @@
     // When an agent returns it has all changes and reports them on watches from before. Calls that
     // it left unanswered stay so.
     if (!options_.pushed || mode != Mode::Up) return;
-    bool more = agent_version_ != version_;
+    bool has_changes = agent_version_ != version_;
     agent_version_ = version_;
-    if (more) news();
+    if (has_changes) write_changes();
   }
   void drain(int server) {
     log("server " + std::to_string(server) + " drains");
     change(server, robinseam::Health::Draining);
     record_change(server, DrainRecord::Kind::ServerLeaves);
-    news();
+    write_changes();
   }
   void remove(int server) {
     log("server " + std::to_string(server) + " is gone");
     change(server, robinseam::Health::Gone);
     record_change(server, DrainRecord::Kind::ServerLeaves);
-    news();
+    write_changes();
   }
   /// Both in one partial list, as two entries.
   void drain_and_remove(int server) {
@@ -122,7 +122,7 @@
     change(server, robinseam::Health::Draining);
     change(server, robinseam::Health::Gone);
     record_change(server, DrainRecord::Kind::ServerLeaves);
-    news();
+    write_changes();
   }
   void remove_all() {
     log("all servers are gone");
@@ -131,7 +131,7 @@
         change(server, robinseam::Health::Gone);
         record_change(server, DrainRecord::Kind::ServerLeaves);
       }
-    news();
+    write_changes();
   }
   /// Discovery restarts its version numbers: it answers full lists until a router has a new
   /// version.
@@ -197,8 +197,9 @@
   Micros now() const { return now_; }
 
  private:
-  static constexpr Micros kNetwork = kMilli;         // one way
-  static constexpr Micros kCloses = 1500 * kMilli;   // until a former address closes calls
+  static constexpr Micros kNetwork = kMilli;  // one way
+  static constexpr Micros kFormerAddressOpen =
+      1500 * kMilli;                                 // until a former address closes calls
   static constexpr Micros kSendEvery = 20 * kMilli;  // from each router to each server
   static constexpr Micros kShortestReturn = 300 * kMilli;
   static constexpr Micros kBetweenSuspensions = 300 * kMilli;
@@ -228,7 +229,7 @@
   struct Router final : ListTransport, ListSubscription::Handler {
     explicit Router(World& w) : world(w) {}
 
-    struct Out {
+    struct OpenCall {
       ListCall call;
       std::uint64_t index = 0;
       Micros until = 0;  ///< end of its wait
@@ -239,7 +240,7 @@
       ++generation;
       alive = true;
       current.clear();
-      out.clear();
+      open_calls.clear();
       apply(known);
       record_event({world.now_, DrainRecord::Kind::ProcessStarted});
       ListSubscription::Options options;
@@ -272,7 +273,7 @@
       alive = false;
       ++generation;
       subscription.reset();
-      out.clear();
+      open_calls.clear();
       world.at(world.now_ + away, [this, known] { start(known); });
     }
     void suspend(Micros span) {
@@ -281,40 +282,41 @@
     void change_address(const std::string& to) {
       record_event({world.now_, DrainRecord::Kind::AddressChanged});
       later(0, [this, to] {
-        // Calls open at the old address are closed after kCloses.
+        // Calls open at the old address are closed after kFormerAddressOpen.
         std::vector<int> ids;
-        for (const auto& [id, one] : out)
+        for (const auto& [id, one] : open_calls)
           if (one.call.address != to) ids.push_back(id);
-        for (int id : ids) later(kCloses, [this, id] { fail(id, CallFailure::Refused); });
+        for (int id : ids)
+          later(kFormerAddressOpen, [this, id] { fail(id, CallFailure::Refused); });
         subscription->change_address(to, world.now_);
         arm();
       });
     }
     void end_watches() {
       std::vector<int> ids;
-      for (const auto& [id, one] : out)
+      for (const auto& [id, one] : open_calls)
         if (one.watching && !one.silent) ids.push_back(id);
       for (int id : ids) later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
     }
     void break_off_watches() {
       std::vector<int> ids;
-      for (const auto& [id, one] : out)
+      for (const auto& [id, one] : open_calls)
         if (one.watching && !one.silent) ids.push_back(id);
       for (int id : ids) later(kNetwork, [this, id] { fail(id, CallFailure::Malformed); });
     }
     void silence_watches_here() {
-      for (auto& [id, one] : out)
+      for (auto& [id, one] : open_calls)
         if (one.watching && !one.silent) fall_silent(one);
     }
-    void fall_silent(Out& one) {
+    void fall_silent(OpenCall& one) {
       one.silent = true;
       // What an agent has when it returns counts at once, whichever calls it left unanswered.
       if (!world.options_.pushed || world.mode_ != Mode::Silent)
         record_event({world.now_, DrainRecord::Kind::WatchSilent, -1, one.until});
     }
-    void news() {
+    void write_changes() {
       std::vector<int> ids;
-      for (const auto& [id, one] : out)
+      for (const auto& [id, one] : open_calls)
         if (one.watching && !one.silent) ids.push_back(id);
       for (int id : ids) write(id);
     }
@@ -325,27 +327,27 @@
     void start(const ListCall& call) override {
       ++world.calls_;
       record_event({world.now_, DrainRecord::Kind::CallStarted});
-      Out& one = out[call.id];
+      OpenCall& one = open_calls[call.id];
       one.call = call;
       std::size_t index = call.path.find("index="), wait = call.path.find("wait=");
       if (index != std::string::npos) one.index = std::stoull(call.path.substr(index + 6));
       Micros span = wait == std::string::npos ? 0 : std::stoll(call.path.substr(wait + 5)) * kMilli;
       one.until = world.now_ + kNetwork + span;
       later(call.timeout, [this, id = call.id] { fail(id, CallFailure::TimedOut); });
-      later_outside(kNetwork, call.id, [this, id = call.id] { arrives(id); });
+      later_at_discovery(kNetwork, call.id, [this, id = call.id] { on_arrival(id); });
     }
-    void cancel(int id, CancelReason) override { out.erase(id); }
+    void cancel(int id, CancelReason) override { open_calls.erase(id); }
 
     // ---- discovery's side of a call ----
 
-    void later_outside(Micros span, int id, std::function<void()> what) {
+    void later_at_discovery(Micros span, int id, std::function<void()> what) {
       int of = generation;
       world.at(world.now_ + span, [this, of, id, what] {
-        if (generation == of && out.count(id)) what();
+        if (generation == of && open_calls.count(id)) what();
       });
     }
-    void arrives(int id) {
-      Out& one = out.at(id);
+    void on_arrival(int id) {
+      OpenCall& one = open_calls.at(id);
       if (one.call.address != address() || world.mode_ == Mode::Refuses ||
           world.mode_ == Mode::Resets)
         return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
@@ -355,16 +357,16 @@
         case Mode::Truncates:
           return later(kNetwork, [this, id] { fail(id, CallFailure::Malformed); });
         case Mode::Crowded:
-          if (world.crowd_++ % 2 == 0)
+          if (world.crowded_calls_++ % 2 == 0)
             return later(kQueueTime, [this, id] { fail(id, CallFailure::Refused); });
-          return later_outside(world.between(0, kQueueTime - 200 * kMilli), id,
-                               [this, id] { works(id); });
+          return later_at_discovery(world.between(0, kQueueTime - 200 * kMilli), id,
+                                    [this, id] { handle_call(id); });
         case Mode::Queue:
           return join_queue(id);
         case Mode::Slow:
-          return later_outside(world.delay_, id, [this, id] { works(id); });
+          return later_at_discovery(world.delay_, id, [this, id] { handle_call(id); });
         default:
-          works(id);
+          handle_call(id);
       }
     }
     void join_queue(int id) {
@@ -372,15 +374,15 @@
       if (world.waiting_.size() >= world.queue_.places)
         return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
       world.waiting_.push_back({this, generation, id});
-      later_outside(world.queue_.most_wait, id, [this, id] {
-        if (auto place = place_of(id)) {
+      later_at_discovery(world.queue_.most_wait, id, [this, id] {
+        if (auto place = find_place(id)) {
           place->refused = true;
           later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
         }
       });
       if (!world.working_) world.work_on_queue();
     }
-    World::Place* place_of(int id) {
+    World::Place* find_place(int id) {
       for (World::Place& place : world.waiting_)
         if (place.router == this && place.generation == generation && place.id == id &&
             !place.refused)
@@ -394,8 +396,8 @@
         later(kNetwork, [this, id = place.id] { fail(id, CallFailure::Refused); });
       }
     }
-    void works(int id) {
-      Out& one = out.at(id);
+    void handle_call(int id) {
+      OpenCall& one = open_calls.at(id);
       if (world.mode_ == Mode::Silent) return fall_silent(one);
       if (!world.reachable())
         return later(kNetwork, [this, id] { fail(id, CallFailure::Refused); });
@@ -403,30 +405,30 @@
                    one.until > world.now_ + 2 * kMilli;
       if (!waits) return write(id);
       one.watching = true;
-      later_outside(one.until - world.now_, id, [this, id] {
-        if (out.at(id).watching && !out.at(id).silent && world.reachable()) write(id);
+      later_at_discovery(one.until - world.now_, id, [this, id] {
+        if (open_calls.at(id).watching && !open_calls.at(id).silent && world.reachable()) write(id);
       });
     }
     /// The answer is written now and read kNetwork later.
     void write(int id) {
-      Out& one = out.at(id);
+      OpenCall& one = open_calls.at(id);
       one.watching = false, one.silent = true;
       ListResult result;
       result.list = world.answer(one.index);
       record_event({world.now_, DrainRecord::Kind::AnswerWritten});
       later(kNetwork, [this, id, result] {
-        if (!out.erase(id)) return;
+        if (!open_calls.erase(id)) return;
         subscription->on_call_ended(id, result, world.now_);
         arm();
       });
     }
     void fail(int id, CallFailure fault) {
-      auto at = out.find(id);
-      if (at == out.end()) return;
+      auto at = open_calls.find(id);
+      if (at == open_calls.end()) return;
       // The end of a call at a former address is not a failure.
       if (at->second.call.address == address())
         record_event({world.now_, DrainRecord::Kind::CallFailed});
-      out.erase(at);
+      open_calls.erase(at);
       ListResult result;
       result.failure = fault;
       subscription->on_call_ended(id, result, world.now_);
@@ -487,7 +489,7 @@
     World& world;
     std::unique_ptr<ListSubscription> subscription;
     std::unordered_map<std::string, Host> current;
-    std::map<int, Out> out;
+    std::map<int, OpenCall> open_calls;
     std::vector<DrainRecord> records;
     Micros suspended_until = 0, armed = -1;
     int generation = 0;
@@ -506,13 +508,13 @@
       Place place = waiting_.front();
       waiting_.pop_front();
       bool there = !place.refused && place.router->generation == place.generation &&
-                   place.router->out.count(place.id) > 0;
+                   place.router->open_calls.count(place.id) > 0;
       if (!there && !queue_.works_on_expired) continue;
       working_ = true;
       at(now_ + queue_.work, [this, place, there] {
         bool waits = there && place.router->generation == place.generation &&
-                     place.router->out.count(place.id);
-        if (waits) place.router->works(place.id);
+                     place.router->open_calls.count(place.id);
+        if (waits) place.router->handle_call(place.id);
         work_on_queue();
       });
       return;
@@ -528,10 +530,10 @@
     changes_.push_back({++version_, server, health});
     if (!options_.pushed || mode_ == Mode::Up) agent_version_ = version_;
   }
-  void news() {
+  void write_changes() {
     for (auto& router : routers_)
       if (reachable())
-        router->news();
+        router->write_changes();
       else if (mode_ == Mode::Truncates)
         router->break_off_watches();
   }
@@ -596,7 +598,7 @@
   std::map<int, Listed> hosts_;
   std::vector<Change> changes_;
   std::uint64_t version_ = kFirstVersion, agent_version_ = kFirstVersion;
-  int epoch_ = 0, address_ = 0, crowd_ = 0, order_ = 0;
+  int epoch_ = 0, address_ = 0, crowded_calls_ = 0, order_ = 0;
   Mode mode_ = Mode::Up;
   Queue queue_;
   std::deque<Place> waiting_;
--- a/tests/membership/drain_judge_test.cpp
+++ b/tests/membership/drain_judge_test.cpp
@@ -171,7 +171,7 @@
        {record(0, Kind::CallStarted), record(kSecond / 2, Kind::CallFailed),
         record(kSecond, Kind::ServerLeaves, 1)},
        4 * kSecond},
-      {"counted anew when discovery is back",
+      {"counted again from the return of discovery",
        false,
        {record(0, Kind::CallStarted), record(kSecond / 2, Kind::AnswerWritten),
         record(kSecond, Kind::DiscoveryUnreachable), record(2 * kSecond, Kind::ServerLeaves, 1),
--- a/tests/membership/list_subscription_test.cpp
+++ b/tests/membership/list_subscription_test.cpp
@@ -127,15 +127,15 @@
   EXPECT_FALSE(f.ready("a"));
   EXPECT_EQ(f.accepted, 0);
   EXPECT_EQ(f.rejected, std::vector<std::string>{"hosts: health 'asleep'"});
-  HostList whole = list("11", true, {host("a", Health::Draining), host("c")});
-  whole.entry_error = change.entry_error;
+  HostList full = list("11", true, {host("a", Health::Draining), host("c")});
+  full.entry_error = change.entry_error;
   ASSERT_TRUE(f.advance(300 * kMilli));
   EXPECT_EQ(f.last().path, "/discovery/hosts");
-  f.answer(f.last(), whole);
+  f.answer(f.last(), full);
   EXPECT_FALSE(f.ready("b"));
   EXPECT_FALSE(f.ready("c"));
   ASSERT_TRUE(f.advance(300 * kMilli));
-  f.answer(f.last(), whole);
+  f.answer(f.last(), full);
   EXPECT_TRUE(f.ready("c"));
 }
 
