--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -55,9 +55,10 @@
 void MetaGet(benchmark::State& state) {
   CommandReader reader;
   Command c;
-  read_batches(
-      state, "mg 7f3a9c21e0b4d655 v O9b1f03aa5c7e2d41 Pc=read,t=acme,d=480\r\n",
-      [&](std::string_view& in) { return reader.take(in, c) == CommandReader::Got::Command; });
+  read_batches(state, "mg 7f3a9c21e0b4d655 v O9b1f03aa5c7e2d41 Pc=read,t=acme,d=480\r\n",
+               [&](std::string_view& in) {
+                 return reader.parse(in, c) == CommandReader::ParseResult::Command;
+               });
 }
 BENCHMARK(MetaGet);
 
@@ -66,7 +67,7 @@
   binary::Command c;
   read_batches(state, binary::request({binary::Opcode::Get, 1, 0, 0, 0, "7f3a9c21e0b4d655", ""}),
                [&](std::string_view& in) {
-                 return reader.take(in, c) == binary::CommandReader::Got::Command;
+                 return reader.parse(in, c) == binary::CommandReader::ParseResult::Command;
                });
 }
 BENCHMARK(BinaryGet);
@@ -75,11 +76,12 @@
   CommandReader reader;
   Command c;
   std::string value = value_of(state);
-  read_batches(
-      state,
-      "ms 7f3a9c21e0b4d655 " + std::to_string(value.size()) +
-          " O9b1f03aa5c7e2d41 Pc=put,t=acme,d=480,k=5c0f6e1a2b3d4c59\r\n" + value + "\r\n",
-      [&](std::string_view& in) { return reader.take(in, c) == CommandReader::Got::Command; });
+  read_batches(state,
+               "ms 7f3a9c21e0b4d655 " + std::to_string(value.size()) +
+                   " O9b1f03aa5c7e2d41 Pc=put,t=acme,d=480,k=5c0f6e1a2b3d4c59\r\n" + value + "\r\n",
+               [&](std::string_view& in) {
+                 return reader.parse(in, c) == CommandReader::ParseResult::Command;
+               });
 }
 BENCHMARK(MetaSet)->Arg(64)->Arg(4096);
 
@@ -90,7 +92,7 @@
       state,
       binary::request({binary::Opcode::Set, 1, 0, 0, 0, "7f3a9c21e0b4d655", value_of(state)}),
       [&](std::string_view& in) {
-        return reader.take(in, c) == binary::CommandReader::Got::Command;
+        return reader.parse(in, c) == binary::CommandReader::ParseResult::Command;
       });
 }
 BENCHMARK(BinarySet)->Arg(64)->Arg(4096);
@@ -100,9 +102,11 @@
   AnswerReader reader(&fields);
   Answer a;
   std::string value = value_of(state);
-  read_batches(
-      state, "VA " + std::to_string(value.size()) + " O9b1f03aa5c7e2d41 h1\r\n" + value + "\r\n",
-      [&](std::string_view& in) { return reader.take(in, a) == AnswerReader::Got::Answer; });
+  read_batches(state,
+               "VA " + std::to_string(value.size()) + " O9b1f03aa5c7e2d41 h1\r\n" + value + "\r\n",
+               [&](std::string_view& in) {
+                 return reader.parse(in, a) == AnswerReader::ParseResult::Answer;
+               });
 }
 BENCHMARK(MetaAnswer)->Arg(64)->Arg(4096);
 
@@ -112,7 +116,7 @@
   read_batches(state,
                binary::response(binary::Opcode::GetK, 0, 1, value_of(state), "7f3a9c21e0b4d655", 5),
                [&](std::string_view& in) {
-                 return reader.take(in, a) == binary::AnswerReader::Got::Answer;
+                 return reader.parse(in, a) == binary::AnswerReader::ParseResult::Answer;
                });
 }
 BENCHMARK(BinaryAnswer)->Arg(64)->Arg(4096);
--- a/bench/list_bench.cpp
+++ b/bench/list_bench.cpp
@@ -23,10 +23,10 @@
 
 using namespace arrowfork;
 
-struct Quiet final : ServerSide::Handler, Lister {
+struct Quiet final : ServerSide::Handler, ListSource {
   void on_attempt_end(RequestId, int, Status, AttemptResult&&) override {}
-  void watch() override {}
-  void fetch() override {}
+  void watch_list() override {}
+  void fetch_list() override {}
 };
 
 std::string list_text(int servers, int version) {
@@ -77,8 +77,8 @@
     auto t3 = std::chrono::steady_clock::now();
     std::vector<robinseam::Server> all;
     for (const Host& host : list.hosts) all.push_back(host.server);
-    core.list(robinseam::ListScope::Full, std::move(all));
-    core.turn();
+    core.on_list(robinseam::ListScope::Full, std::move(all));
+    core.process_events();
     auto t4 = std::chrono::steady_clock::now();
     copied.push_back(ms(t1 - t0)), read.push_back(ms(t2 - t1));
     taken.push_back(ms(t3 - t2)), decided.push_back(ms(t4 - t3));
--- a/src/app/wheeldeal.cpp
+++ b/src/app/wheeldeal.cpp
@@ -12,7 +12,7 @@
 #include "../rig/cache_server.hpp"
 #include "../rig/show.hpp"
 #include "../rig/storm.hpp"
-#include "../store/keeping.hpp"
+#include "../store/disk_list_persistence.hpp"
 #include "../store/tool.hpp"
 #include "../tier/drain_scenario.hpp"
 #include "../tier/tier.hpp"
@@ -71,12 +71,13 @@
   CLI::App* run = app.add_subcommand("run", "serve until SIGTERM; SIGHUP reads the file again");
   run->add_option("file", file, "configuration (JSON); without it, the one NODE_CONFIG names");
   run->callback([&] {
-    std::unique_ptr<wheeldeal::store::Keeping> keeping;  // of the first configuration
+    std::unique_ptr<wheeldeal::store::DiskListPersistence> keeping;  // of the first configuration
     auto load = [&] {
       auto config = file.empty() ? arrowfork::load_config() : arrowfork::load_config(file);
       if (config.store && !keeping) {
-        keeping = std::make_unique<wheeldeal::store::Keeping>(*config.store, config.name, wall);
-        keeping->give(config);
+        keeping = std::make_unique<wheeldeal::store::DiskListPersistence>(*config.store,
+                                                                          config.name, wall);
+        keeping->restore_list(config);
       }
       return config;
     };
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 Core::Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
-           Lister& lister, std::size_t max_open, std::size_t max_ids,
+           ListSource& lister, std::size_t max_open, std::size_t max_ids,
            const robinseam::limits::RuleMaker& rules)
     : clock_(clock),
       lister_(lister),
@@ -45,26 +45,28 @@
       id_seed_(mixed(seed)),
       max_open_(max_open),
       max_ids_(max_ids) {
-  counts_.ends.resize(classes_.size());
+  counts_.replies_by_class.resize(classes_.size());
 }
 
 void Core::start(std::vector<robinseam::Server> known, bool doubted) {
   Micros now = clock_.now();
   perform("start", 0, now, balancer_.start(now));
   using Scope = robinseam::ListScope;
-  list(doubted ? Scope::Doubted : Scope::Cached, std::move(known));
+  on_list(doubted ? Scope::Doubted : Scope::Cached, std::move(known));
 }
 
 // ---- requests ----
 
-Core::Taken Core::take(Request&& request, ReplySink& sink, Carrier& carrier, RequestId& id) {
-  const robinseam::ClassSettings* type = class_of(request.type);
-  if (!type || (type->effect == robinseam::Effect::Keyed && !request.write)) return Taken::BadClass;
+Core::SubmitResult Core::submit(Request&& request, ReplySink& sink, AttemptSender& carrier,
+                                RequestId& id) {
+  const robinseam::ClassSettings* type = find_class(request.class_name);
+  if (!type || (type->effect == robinseam::Effect::Keyed && !request.write))
+    return SubmitResult::InvalidClass;
   bool own_id = request.id.empty();  // never twice the same, so that none need be remembered
-  if (!own_id && id_taken(request.id)) return Taken::IdInUse;
+  if (!own_id && id_taken(request.id)) return SubmitResult::IdInUse;
   if (open_.size() >= max_open_ || (!own_id && ids_[0].size() >= max_ids_)) {
-    note_refused(request.type);
-    return Taken::Busy;
+    record_refused(request.class_name);
+    return SubmitResult::TableFull;
   }
   ++counts_.requests;
   ++unanswered_;
@@ -78,13 +80,14 @@
   open.carrier = &carrier;
   // No client waits longer than its class allows; a longer time would only keep what is kept for
   // it.
-  open.deadline = clock_.now() + std::min(request.patience, type->deadline);
+  open.deadline = clock_.now() + std::min(request.time_left, type->deadline);
   // Nor is any work longer than the patience for it: such a hint would upset the module's means.
-  request.keyed = request.write && !request.idempotency.empty() && carrier.keeps_key(request);
+  request.deduplicated = request.write && !request.idempotency_key.empty() &&
+                         carrier.supports_idempotency_key(request);
   if (request.work) request.work = std::min(*request.work, type->deadline);
   open.request = std::move(request);
   events_.push_back(RequestEvent{id});
-  return Taken::Yes;
+  return SubmitResult::Accepted;
 }
 
 std::string Core::make_id() {
@@ -111,22 +114,22 @@
   ids_[0].insert(id);
 }
 
-const robinseam::ClassSettings* Core::class_of(const std::string& name) const {
+const robinseam::ClassSettings* Core::find_class(const std::string& name) const {
   for (const auto& c : classes_)
     if (c.name == name) return &c;
   return nullptr;
 }
 
-Core::Counts::Ends* Core::ends_of(const std::string& type) {
-  const robinseam::ClassSettings* c = class_of(type);
-  return c ? &counts_.ends[static_cast<std::size_t>(c - classes_.data())] : nullptr;
+Core::Counts::Replies* Core::replies_of(const std::string& type) {
+  const robinseam::ClassSettings* c = find_class(type);
+  return c ? &counts_.replies_by_class[static_cast<std::size_t>(c - classes_.data())] : nullptr;
 }
 
-void Core::note_refused(const std::string& type) {
-  if (Counts::Ends* ends = ends_of(type)) ++ends->refused;
+void Core::record_refused(const std::string& type) {
+  if (Counts::Replies* ends = replies_of(type)) ++ends->refused;
 }
 
-void Core::left(RequestId id) {
+void Core::on_client_half_closed(RequestId id) {
   auto it = open_.find(id);
   if (it == open_.end() || it->second.left) return;
   Open& open = it->second;
@@ -138,10 +141,10 @@
 
 /// Begun from here on it would be work for nobody: what waits for a dial, behind others or for a
 /// full socket goes no further.
-void Core::take_back(RequestId id, Open& open) {
+void Core::withdraw(RequestId id, Open& open) {
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     Attempt& a = open.attempts[k];
-    if (!a.carried || !open.carrier->take_back(a.server, id, static_cast<int>(k))) continue;
+    if (!a.carried || !open.carrier->withdraw(a.server, id, static_cast<int>(k))) continue;
     a.carried = a.may_have_run = false;
     if (a.out) tell_outcome(id, open, static_cast<int>(k), Status::Moot, nullptr);
   }
@@ -154,7 +157,7 @@
                                    [](const Attempt& one) { return one.carried; }))
     return;
   Reply reply;
-  if (open.request.idempotency.empty() &&
+  if (open.request.idempotency_key.empty() &&
       std::none_of(open.attempts.begin(), open.attempts.end(),
                    [](const Attempt& one) { return one.may_have_run; })) {
     ++counts_.refused;
@@ -163,7 +166,7 @@
   give_reply(open, std::move(reply));
 }
 
-void Core::gone(RequestId id) {
+void Core::on_client_gone(RequestId id) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   Open& open = it->second;
@@ -171,18 +174,18 @@
   unanswered_ -= !open.answered;
   open.sink = nullptr;
   open.answered = true;
-  take_back(id, open);
+  withdraw(id, open);
   events_.push_back(GoneEvent{id});  // also where it has left before: settle() forgets it then
 }
 
 void Core::give_reply(Open& open, Reply&& reply) {
   counts_.failed += reply.kind == Reply::Kind::Failed;
   unanswered_ -= !open.answered;
-  if (Counts::Ends* ends = ends_of(open.request.type))
+  if (Counts::Replies* ends = replies_of(open.request.class_name))
     ++(reply.kind == Reply::Kind::Served    ? ends->served
        : reply.kind == Reply::Kind::Refused ? ends->refused
                                             : ends->failed);
-  reply.missed = reply.kind != Reply::Kind::Served && open.missed;
+  reply.cache_miss = reply.kind != Reply::Kind::Served && open.missed;
   open.answered = true;
   if (ReplySink* sink = std::exchange(open.sink, nullptr))
     sink->on_reply(open.request, std::move(reply));
@@ -200,10 +203,10 @@
 
 // ---- attempts ----
 
-void Core::again(RequestId id) { events_.push_back(AgainEvent{id}); }
+void Core::on_client_resumed(RequestId id) { events_.push_back(AgainEvent{id}); }
 
-void Core::attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
-                         bool held) {
+void Core::on_attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
+                            bool held) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   Open& open = it->second;
@@ -237,7 +240,7 @@
     return;
   }
   if (attempt == kLeftGuard) {
-    take_back(id, open);
+    withdraw(id, open);
     answer_left(open);
     forget_if_done(id);
     return;
@@ -247,7 +250,7 @@
     if (!a.out || (attempt >= 0 && static_cast<int>(k) != attempt)) continue;
     Status status;
     if (attempt >= 0 && !second_copies_) {
-      std::optional<Status> ended = open.carrier->end(a.server, id, attempt);
+      std::optional<Status> ended = open.carrier->stop_for_retry(a.server, id, attempt);
       if (!ended) {  // out until then, so that no other may follow
         set_timer(clock_.now() + kEndAgain, Due::Expiry, id, attempt);
         continue;
@@ -257,7 +260,7 @@
       status = open.carrier->cancel(a.server, id, static_cast<int>(k));
     }
     a.carried = false;
-    bool unreached = status == Status::Moot && !open.carrier->remote();
+    bool unreached = status == Status::Moot && !open.carrier->sent_by_caller();
     tell_outcome(id, open, static_cast<int>(k),
                  unreached                ? Status::ConnectFailed
                  : status == Status::Moot ? Status::Moot
@@ -288,9 +291,9 @@
   e.outcome.attempt = attempt;
   e.outcome.held = held;
   if (result) {
-    counts_.hits += result->note == 1;
-    counts_.misses += result->note > 1;
-    e.outcome.note = result->note;
+    counts_.hits += result->cache_result == 1;
+    counts_.misses += result->cache_result > 1;
+    e.outcome.note = result->cache_result;
     e.outcome.report = std::move(result->report);
   }
   ++open.untold;
@@ -299,7 +302,7 @@
 
 // ---- the list ----
 
-void Core::list(robinseam::ListScope scope, std::vector<robinseam::Server> servers) {
+void Core::on_list(robinseam::ListScope scope, std::vector<robinseam::Server> servers) {
   events_.push_back(ListEvent{scope, std::move(servers)});
 }
 
@@ -323,7 +326,7 @@
 
 // ---- the module ----
 
-void Core::turn() {
+void Core::process_events() {
   ring();
   settle();
 }
@@ -349,15 +352,15 @@
       }
       robinseam::Request r;
       r.id = e->id;
-      r.type = open.request.type;
+      r.type = open.request.class_name;
       r.tenant = open.request.tenant;
       r.key = open.request.key;
       r.remaining = std::max<Micros>(0, open.deadline - now);
       r.work = open.request.work;
-      r.repeat = open.request.repeat;
+      r.repeat = open.request.retry;
       r.write = open.request.write;
-      r.unkeyed = open.request.write && !open.request.keyed;
-      if (open.request.keyed) r.idempotency = open.request.idempotency;
+      r.unkeyed = open.request.write && !open.request.deduplicated;
+      if (open.request.deduplicated) r.idempotency = open.request.idempotency_key;
       set_timer(open.deadline, Due::Expiry, e->id, kClient);
       perform("request", e->id, now, balancer_.on_request(now, r));
     } else if (auto* e = std::get_if<GoneEvent>(&event)) {
@@ -393,7 +396,7 @@
     return;
   }
   Micros wait = open.deadline - now;
-  if (a.patience > 0 && a.patience < wait && !open.carrier->remote()) {
+  if (a.patience > 0 && a.patience < wait && !open.carrier->sent_by_caller()) {
     wait = a.patience;
     set_timer(now + wait, Due::Expiry, a.id, attempt);
   }
@@ -406,7 +409,7 @@
   ++counts_.refused;
   Reply reply;
   reply.kind = Reply::Kind::Refused;
-  reply.come_back = a.wait;
+  reply.retry_after = a.wait;
   give_reply(it->second, std::move(reply));
   forget_if_done(a.id);
 }
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -18,7 +18,7 @@
 
 namespace arrowfork {
 
-/// Where a request's reply goes. Called once, unless gone() was called before.
+/// Where a request's reply goes. Called once, unless on_client_gone() was called before.
 class ReplySink {
  public:
   virtual void on_reply(const Request& request, Reply&& reply) = 0;
@@ -27,9 +27,9 @@
   ~ReplySink() = default;
 };
 
-/// Carries attempts out. For each send() it calls Core::attempt_ended once, perhaps before send()
-/// returns, unless the attempt was cancelled.
-class Carrier {
+/// Carries attempts out. For each send() it calls Core::on_attempt_ended once, perhaps before
+/// send() returns, unless the attempt was cancelled.
+class AttemptSender {
  public:
   /// `wait`: until the router stops waiting.
   virtual void send(const std::string& server, RequestId id, int attempt, const Request& request,
@@ -38,41 +38,42 @@
   virtual Status cancel(const std::string& server, RequestId id, int attempt) = 0;
   /// The same where another attempt is to follow and no two may be out at once: it must not go on
   /// at its server. Nothing where it can't be ended without harm to others, and goes on.
-  virtual std::optional<Status> end(const std::string& server, RequestId id, int attempt) {
+  virtual std::optional<Status> stop_for_retry(const std::string& server, RequestId id,
+                                               int attempt) {
     return cancel(server, id, attempt);
   }
   /// Takes an attempt back whose server has not got it whole, so that it never begins; false where
   /// that can't be done any more, or not without harm to others. What is out then goes on.
-  virtual bool take_back(const std::string&, RequestId, int) { return false; }
+  virtual bool withdraw(const std::string&, RequestId, int) { return false; }
   /// Whether every server that an attempt may reach is told the write's idempotency key.
-  virtual bool keeps_key(const Request& request) const = 0;
+  virtual bool supports_idempotency_key(const Request& request) const = 0;
   /// Attempts are carried out by somebody else who is only told of them. Then no patience is held
   /// against them but the request's own time, since giving one up would not reach who carries it;
   /// and one that was never sent (Moot) says nothing of whether its server could be reached.
-  virtual bool remote() const { return false; }
+  virtual bool sent_by_caller() const { return false; }
 
  protected:
-  ~Carrier() = default;
+  ~AttemptSender() = default;
 };
 
-/// Where the list of servers is asked for; what comes is told by Core::list.
-class Lister {
+/// Where the list of servers is asked for; what comes is told by Core::on_list.
+class ListSource {
  public:
-  virtual void watch() = 0;
-  virtual void fetch() = 0;
+  virtual void watch_list() = 0;
+  virtual void fetch_list() = 0;
 
  protected:
-  ~Lister() = default;
+  ~ListSource() = default;
 };
 
 /// Sees each call on the module with what it answered, in order. For tests and captures.
-class SeamTap {
+class BalancerObserver {
  public:
   virtual void on_call(Micros now, const char* call, RequestId id,
                        const robinseam::Actions& actions) = 0;
 
  protected:
-  ~SeamTap() = default;
+  ~BalancerObserver() = default;
 };
 
 class Core {
@@ -82,48 +83,48 @@
   /// of their own are taken in a span of the longest deadline.
   /// `rules` as for the module's constructor.
   Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
-       Lister& lister, std::size_t max_open, std::size_t max_ids,
+       ListSource& lister, std::size_t max_open, std::size_t max_ids,
        const robinseam::limits::RuleMaker& rules = {});
 
   /// Call once: begins with the list as last held; `doubted`: it is likely to have changed.
   void start(std::vector<robinseam::Server> known, bool doubted = false);
 
-  enum class Taken {
-    Yes,
-    BadClass,  ///< no such class, or a read of a class whose writes bear keys
-    IdInUse,   ///< a client has this id open, or had it a moment ago
-    Busy,      ///< the table is full; refused before the module has seen it
+  enum class SubmitResult {
+    Accepted,
+    InvalidClass,  ///< no such class, or a read of a class whose writes bear keys
+    IdInUse,       ///< a client has this id open, or had it a moment ago
+    TableFull,     ///< the table is full; refused before the module has seen it
   };
   /// Takes a request; `id` names it from here on. `sink` and `carrier` are called until it has
-  /// ended; `sink` not after gone(). The module hears of it in the next turn().
-  Taken take(Request&& request, ReplySink& sink, Carrier& carrier, RequestId& id);
+  /// ended; `sink` not after on_client_gone(). The module hears of it in the next process_events().
+  SubmitResult submit(Request&& request, ReplySink& sink, AttemptSender& carrier, RequestId& id);
   /// The client sends no more but may still read: nothing new is sent for it, what its servers have
   /// not got whole a moment later is taken back, what may run is waited for.
-  void left(RequestId id);
+  void on_client_half_closed(RequestId id);
   /// Nobody is left to get the reply. What its servers have not got whole is taken back.
-  void gone(RequestId id);
-  /// `held`: nobody waits for a further attempt until again() is called; without, the module
-  /// decides on one at once.
-  void attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
-                     bool held = false);
+  void on_client_gone(RequestId id);
+  /// `held`: nobody waits for a further attempt until on_client_resumed() is called; without, the
+  /// module decides on one at once.
+  void on_attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
+                        bool held = false);
   /// Somebody waits for the request again.
-  void again(RequestId id);
-  void list(robinseam::ListScope scope, std::vector<robinseam::Server> servers);
+  void on_client_resumed(RequestId id);
+  void on_list(robinseam::ListScope scope, std::vector<robinseam::Server> servers);
 
   /// Rings the timers that are due and tells the module what has happened, until nothing is left.
-  void turn();
-  /// True when a turn() has something to do now.
-  bool pending() const { return !events_.empty(); }
-  /// When turn() must be called at the latest; 0: no timer is set.
+  void process_events();
+  /// True when a process_events() has something to do now.
+  bool has_pending_events() const { return !events_.empty(); }
+  /// When process_events() must be called at the latest; 0: no timer is set.
   Micros next_timer() const { return timers_.empty() ? 0 : timers_.top().at; }
 
-  const robinseam::ClassSettings* class_of(const std::string& name) const;
+  const robinseam::ClassSettings* find_class(const std::string& name) const;
   Micros longest_deadline() const { return longest_deadline_; }
   std::size_t open_requests() const { return open_.size(); }
   /// Requests that have not got their reply yet.
   std::size_t unanswered() const { return unanswered_; }
   /// Counts a request that a front has refused by itself.
-  void note_refused(const std::string& type);
+  void record_refused(const std::string& type);
   /// The part of its slots that a listed server is live over now, 0 to 1.
   double live_fraction(const std::string& server) const { return balancer_.live_fraction(server); }
   const std::vector<robinseam::ClassSettings>& classes() const { return classes_; }
@@ -131,10 +132,10 @@
     std::uint64_t requests = 0, refused = 0, failed = 0, gone = 0, hits = 0, misses = 0;
     std::array<std::uint64_t, robinseam::kStatuses> outcomes{};  ///< by Status
     /// By class, in the settings' order; a request whose client has left is under none.
-    struct Ends {
+    struct Replies {
       std::uint64_t served = 0, refused = 0, failed = 0;
     };
-    std::vector<Ends> ends;
+    std::vector<Replies> replies_by_class;
   };
   const Counts& counts() const { return counts_; }
   using Outcomes = std::array<std::uint32_t, robinseam::kStatuses>;  ///< by Status
@@ -142,7 +143,7 @@
   /// what ends elsewhere until the next call is under none.
   std::map<std::string, Outcomes> take_server_counts() { return std::exchange(at_servers_, {}); }
   robinseam::Balancer::Stats module_stats() const { return balancer_.stats(); }
-  void set_tap(SeamTap* tap) { tap_ = tap; }
+  void set_observer(BalancerObserver* tap) { tap_ = tap; }
 
  private:
   static constexpr std::size_t kMostCounted = 4096;  // some 150 bytes each, until the next line
@@ -155,7 +156,7 @@
   };
   struct Open {
     ReplySink* sink = nullptr;  // none once the client is gone or has its reply
-    Carrier* carrier = nullptr;
+    AttemptSender* carrier = nullptr;
     Request request;
     Micros deadline = 0;
     bool answered = false;  // the final answer is given, or nobody is left to get one
@@ -205,24 +206,24 @@
   void act(const robinseam::Refuse& a);
   void act(const robinseam::Fail& a);
   void act(const robinseam::Cancel& a);
-  void act(const robinseam::Watch&) { lister_.watch(); }
-  void act(const robinseam::Fetch&) { lister_.fetch(); }
+  void act(const robinseam::Watch&) { lister_.watch_list(); }
+  void act(const robinseam::Fetch&) { lister_.fetch_list(); }
   void act(const robinseam::Timer& a);
   void act(const robinseam::Probe&) {}  // the module probes nothing; no site allows it
   void expire(RequestId id, int attempt);
   std::string make_id();
   bool id_taken(const std::string& id) const;
   void note_id(const std::string& id);
-  Counts::Ends* ends_of(const std::string& type);
+  Counts::Replies* replies_of(const std::string& type);
   void give_reply(Open& open, Reply&& reply);
-  void take_back(RequestId id, Open& open);
+  void withdraw(RequestId id, Open& open);
   void answer_left(Open& open);
   void tell_outcome(RequestId id, Open& open, int attempt, Status status, AttemptResult* result,
                     bool held = false);
   void forget_if_done(RequestId id);
 
   const TimeSource& clock_;
-  Lister& lister_;
+  ListSource& lister_;
   std::vector<robinseam::ClassSettings> classes_;
   bool aside_, second_copies_;
   Micros longest_deadline_;
@@ -241,7 +242,7 @@
   std::uint64_t timer_order_ = 0;
   Counts counts_;
   std::map<std::string, Outcomes> at_servers_;
-  SeamTap* tap_ = nullptr;
+  BalancerObserver* tap_ = nullptr;
 };
 
 }  // namespace arrowfork
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -20,21 +20,22 @@
 struct Request {
   bool write = false;
   std::string key;
-  std::string id;           ///< unique over all routers; empty: the core makes one
-  std::string type;         ///< the name of its class in the settings
-  std::string tenant;       ///< may be empty
-  std::string idempotency;  ///< of a write; empty: repeating it is unsafe whatever its class says
-  bool keyed = false;       ///< the core's: servers drop repeats of it by that key
-  Micros patience = 0;      ///< until the client gives up; held to the class's deadline
+  std::string id;          ///< unique over all routers; empty: the core makes one
+  std::string class_name;  ///< the name of its class in the settings
+  std::string tenant;      ///< may be empty
+  std::string
+      idempotency_key;        ///< of a write; empty: repeating it is unsafe whatever its class says
+  bool deduplicated = false;  ///< the core's: servers drop repeats of it by that key
+  Micros time_left = 0;       ///< until the client gives up; held to the class's deadline
   std::optional<std::int64_t> work;          ///< microseconds on a standard core
-  bool repeat = false;                       ///< the client marked it as its own retry
+  bool retry = false;                        ///< the client marked it as its own retry
   std::shared_ptr<const std::string> value;  ///< of a write
   /// What the binary protocol's clients keep beside a value, and how long it lives (0: for good).
   std::uint32_t flags = 0, expiry = 0;
   bool wants_flags = false;  ///< of a read: the reply must tell them
   /// The meta line as its client wrote it, around the figure of its wait. A back that speaks meta
   /// sends it on unchanged; empty where the front speaks something else.
-  std::string line_before_wait, line_after_wait;
+  std::string line_before_deadline, line_after_deadline;
 };
 
 /// What an attempt brought back.
@@ -43,7 +44,7 @@
   std::shared_ptr<ValuePipe> pipe;  ///< in its place where the value is large and still comes
   std::string receipt;              ///< of a write that was served
   std::uint32_t flags = 0;
-  int note = 0;                ///< 1 hit, 2 miss, 3 miss while another fetch is out, 0 not told
+  int cache_result = 0;        ///< 1 hit, 2 miss, 3 miss while another fetch is out, 0 not told
   std::vector<double> report;  ///< in the order of the settings' fields; NaN where not told
 };
 
@@ -51,16 +52,16 @@
 struct Reply {
   enum class Kind {
     Served,   ///< `value` or `receipt`
-    Refused,  ///< trying again is harmless, after `come_back`
+    Refused,  ///< trying again is harmless, after `retry_after`
     Failed,   ///< promises nothing
   };
   Kind kind = Kind::Failed;
   std::string value, receipt;
   std::shared_ptr<ValuePipe> pipe;  ///< in place of `value`
   std::uint32_t flags = 0;
-  Micros come_back = 0;  ///< 0 = not told
+  Micros retry_after = 0;  ///< 0 = not told
   /// Not served, and the last server asked holds nothing (aside mode).
-  bool missed = false;
+  bool cache_miss = false;
 };
 
 }  // namespace arrowfork
--- a/src/core/value_pipe.hpp
+++ b/src/core/value_pipe.hpp
@@ -23,37 +23,37 @@
   void put(std::string_view bytes) {
     if (abandoned_) return;
     buffer_.append(bytes);
-    tell(on_bytes_);
+    tell(on_readable_);
   }
   bool full() const { return buffer_.size() >= window_; }
   void set_window(std::size_t window) { window_ = window; }
   void finish() {
     finished_ = true;
-    tell(on_bytes_);
+    tell(on_readable_);
   }
   void fail() {
     failed_ = !finished_;
-    tell(on_bytes_);
+    tell(on_readable_);
   }
   bool abandoned() const { return abandoned_; }
   /// Called when there is room again, and when nobody reads any more.
-  void on_room(std::function<void()> call) { on_room_ = std::move(call); }
+  void on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
 
   // The reader's.
   std::string take() {
     std::string bytes = std::exchange(buffer_, {});
-    if (!bytes.empty()) tell(on_room_);
+    if (!bytes.empty()) tell(on_writable_);
     return bytes;
   }
   bool finished() const { return finished_ && buffer_.empty(); }
   bool failed() const { return failed_; }
   std::size_t window() const { return window_; }
-  void on_bytes(std::function<void()> call) { on_bytes_ = std::move(call); }
+  void on_readable(std::function<void()> call) { on_readable_ = std::move(call); }
   void abandon() {
     if (std::exchange(abandoned_, true)) return;
-    on_bytes_ = nullptr;
+    on_readable_ = nullptr;
     buffer_.clear();
-    tell(on_room_);
+    tell(on_writable_);
   }
 
  private:
@@ -63,7 +63,7 @@
   std::size_t length_, window_;
   std::string buffer_;
   bool finished_ = false, failed_ = false, abandoned_ = false;
-  std::function<void()> on_bytes_, on_room_;
+  std::function<void()> on_readable_, on_writable_;
 };
 
 }  // namespace arrowfork
--- a/src/emu/day.cpp
+++ b/src/emu/day.cpp
@@ -33,7 +33,7 @@
 };
 
 /// A router without sockets: the core, and attempts carried straight to the model.
-class ModelRouter final : public Carrier, public Lister, public SeamTap {
+class ModelRouter final : public AttemptSender, public ListSource, public BalancerObserver {
  public:
   ModelRouter(Day& day, int number, const robinseam::Settings& settings, std::uint64_t seed);
   void start(std::vector<robinseam::Server> known);
@@ -78,9 +78,9 @@
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override;
   Status cancel(const std::string& server, RequestId id, int attempt) override;
-  bool keeps_key(const Request&) const override { return true; }
-  void watch() override;
-  void fetch() override {}
+  bool supports_idempotency_key(const Request&) const override { return true; }
+  void watch_list() override;
+  void fetch_list() override {}
   void on_call(Micros now, const char* call, RequestId id,
                const robinseam::Actions& actions) override;
 
@@ -174,7 +174,7 @@
       number_(number),
       clock_(day.time),
       core_(settings, seed, clock_, *this, 10'000, 100'000, day.plan.rules) {
-  core_.set_tap(this);
+  core_.set_observer(this);
 }
 
 void ModelRouter::start(std::vector<robinseam::Server> known) {
@@ -182,16 +182,16 @@
   turn();
 }
 
-void ModelRouter::watch() {
+void ModelRouter::watch_list() {
   if (day_.settings.must_ask && day_.plan.discovery.work > 0) return day_.call_discovery(*this);
-  core_.list(robinseam::ListScope::Delta, {});
+  core_.on_list(robinseam::ListScope::Delta, {});
 }
 
 void ModelRouter::told(const std::vector<robinseam::Server>* servers) {
   if (dead_) return;
   watching_ = servers != nullptr;
   if (servers) return list(*servers);
-  core_.list(robinseam::ListScope::Failed, {});
+  core_.on_list(robinseam::ListScope::Failed, {});
   turn();
 }
 
@@ -209,13 +209,13 @@
   for (const auto& s : servers) named.insert(s.id), gone_since_.erase(s.id);
   for (auto& server : day_.fleet.servers())
     if (!named.count(server->id())) gone_since_.emplace(server->id(), day_.time.now());
-  core_.list(robinseam::ListScope::Full, std::move(servers));
+  core_.on_list(robinseam::ListScope::Full, std::move(servers));
   turn();
 }
 
 void ModelRouter::turn() {
   if (dead_ || std::exchange(turning_, true)) return;
-  core_.turn();
+  core_.process_events();
   turning_ = false;
   Micros next = core_.next_timer(), now = day_.time.now();
   if (next) next = clock_.in_world(next);
@@ -247,14 +247,14 @@
   if (auto gone = gone_since_.find(server); gone != gone_since_.end())
     day_.report.to_left += now - gone->second > day_.plan.settings.drain_grace;
   if (request.write) {
-    auto [first, fresh] = writes_.emplace(request.idempotency, now);
+    auto [first, fresh] = writes_.emplace(request.idempotency_key, now);
     if (!fresh)
       day_.report.doubled_effects += now - first->second > day_.plan.settings.classes[1].key_ttl;
   }
   if (!day_.fleet.find(server)) {  // nobody listens there
     day_.time.after(2 * day_.fleet.plan().one_way, [this, id, attempt] {
       if (dead_) return;
-      core_.attempt_ended(id, attempt, Status::ConnectFailed, AttemptResult());
+      core_.on_attempt_ended(id, attempt, Status::ConnectFailed, AttemptResult());
       turn();
     });
     return;
@@ -263,7 +263,7 @@
   bool dials = false;
   auto c = pick(pool, dials);
   if (!c) {  // no connection of our own: nothing was sent
-    core_.attempt_ended(id, attempt, Status::Moot, AttemptResult());
+    core_.on_attempt_ended(id, attempt, Status::Moot, AttemptResult());
     return;
   }
   day_.second().dials += dials;
@@ -338,10 +338,10 @@
   second.full += status == Status::Full;
   second.errors += status == Status::Error;
   AttemptResult result;
-  result.note = answer.note;
+  result.cache_result = answer.note;
   if (status != Status::Reset)
     result.report = {answer.utilization, answer.service_ms, answer.hit_share};
-  core_.attempt_ended(flight.name.first, flight.name.second, status, std::move(result));
+  core_.on_attempt_ended(flight.name.first, flight.name.second, status, std::move(result));
 }
 
 Status ModelRouter::cancel(const std::string& server, RequestId id, int attempt) {
@@ -388,13 +388,13 @@
   Micros now = day_.time.now();
   Micros left = begun_ + deadline_ - now;
   Request r = request_;
-  r.patience = std::min(
+  r.time_left = std::min(
       left, static_cast<Micros>(day_.plan.tills.try_share * static_cast<double>(deadline_)));
-  Micros patience = r.patience;
+  Micros patience = r.time_left;
   waiting_ = true;
   ModelRouter& router = *day_.routers[static_cast<std::size_t>(router_)];
   asked_ = &router;
-  if (router.core().take(std::move(r), *this, router, id_) != Core::Taken::Yes) {
+  if (router.core().submit(std::move(r), *this, router, id_) != Core::SubmitResult::Accepted) {
     waiting_ = false;
     return again(day_.plan.tills.pause);
   }
@@ -410,7 +410,7 @@
   }
   if (reply.kind == Reply::Kind::Served) return end(true);
   day_.second().refused += reply.kind == Reply::Kind::Refused;
-  again(day_.plan.tills.honours_wait ? std::max(reply.come_back, day_.plan.tills.pause)
+  again(day_.plan.tills.honours_wait ? std::max(reply.retry_after, day_.plan.tills.pause)
                                      : day_.plan.tills.pause);
 }
 
@@ -423,7 +423,7 @@
     return again(day_.plan.tills.pause);
   }
   ++day_.report.answers_missing;
-  day_.routers[static_cast<std::size_t>(router_)]->core().gone(id_);
+  day_.routers[static_cast<std::size_t>(router_)]->core().on_client_gone(id_);
   again(day_.plan.tills.pause);
 }
 
--- a/src/emu/demand.cpp
+++ b/src/emu/demand.cpp
@@ -66,11 +66,11 @@
   auto rank = std::lower_bound(ranks_.begin(), ranks_.end(), chance() * ranks_.back());
   r.key = "k" + std::to_string(rank - ranks_.begin());
   if (!r.write && chance() < scan_) r.key = "once" + std::to_string(scanned_++);
-  r.type = settings_.classes[r.write].name;
+  r.class_name = settings_.classes[r.write].name;
   f.banner = chance() < tills_.second_share;
   r.tenant = settings_.tenants[static_cast<std::size_t>(f.banner)].name;
   if (r.write) {
-    r.idempotency = std::to_string(++receipts_);
+    r.idempotency_key = std::to_string(++receipts_);
     r.value = std::make_shared<const std::string>("sold");
   }
   double mean = static_cast<double>(r.write ? fleet_.write_work : fleet_.read_work);
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -164,7 +164,7 @@
   Exchange& e = *it->second;
   e.stream = 0;
   if (std::exchange(e.waiting, false)) {
-    core_.gone(e.id);
+    core_.on_client_gone(e.id);
     forget(name);
   } else if (e.attempt >= 0 && e.told) {
     ++counts_.unreported;
@@ -183,21 +183,21 @@
   if (r.id.empty() || r.id.size() > kMaxName || !printable(r.id)) return bad(stream, rules_.id);
   std::string method = value_of(headers, ":method");
   r.write = method != "GET" && method != "HEAD" && !method.empty();
-  r.type = value_of(headers, rules_.type);
-  if (r.type.empty()) r.type = r.write ? rules_.write_type : rules_.read_type;
-  const robinseam::ClassSettings* type = core_.class_of(r.type);
+  r.class_name = value_of(headers, rules_.type);
+  if (r.class_name.empty()) r.class_name = r.write ? rules_.write_type : rules_.read_type;
+  const robinseam::ClassSettings* type = core_.find_class(r.class_name);
   if (!type) return bad(stream, rules_.type);
   r.tenant = value_of(headers, rules_.tenant);
   if (r.tenant.empty()) r.tenant = rules_.first_tenant;
   if (r.tenant.size() > kMaxKey || !printable(r.tenant)) return bad(stream, rules_.tenant);
-  r.idempotency = value_of(headers, rules_.idempotency);
-  if (r.idempotency.size() > kMaxName || !printable(r.idempotency))
+  r.idempotency_key = value_of(headers, rules_.idempotency);
+  if (r.idempotency_key.size() > kMaxName || !printable(r.idempotency_key))
     return bad(stream, rules_.idempotency);
-  r.patience = type->deadline;
+  r.time_left = type->deadline;
   if (std::string text = value_of(headers, rules_.deadline); !text.empty()) {
     auto ms = whole_number(text);
     if (!ms) return bad(stream, rules_.deadline);
-    r.patience = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
+    r.time_left = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
   }
   std::int64_t count = 1;
   if (std::string text = value_of(headers, rules_.attempt); !text.empty()) {
@@ -205,7 +205,7 @@
     if (!number) return bad(stream, rules_.attempt);
     count = *number;
   }
-  r.repeat = count > 1;
+  r.retry = count > 1;
   std::string name = r.id;
   if (auto it = exchanges_.find(name); it != exchanges_.end()) {
     Exchange& e = *it->second;
@@ -222,26 +222,26 @@
     if (e.attempt >= 0)
       tell(e);  // decided while nobody was there
     else
-      core_.again(e.id);
+      core_.on_client_resumed(e.id);
     return;
   }
   // A further attempt of a write that is not known here: an earlier one may have run, before a
   // restart or by another router's word, and nothing drops the repeat.
-  if (count > 1 && r.write && r.idempotency.empty()) {
+  if (count > 1 && r.write && r.idempotency_key.empty()) {
     ++counts_.failed;
     streams_.erase(stream);
     return immediate(stream, 503, "failed");
   }
   auto owner = std::make_unique<Exchange>(*this);
   Exchange& e = *owner;
-  switch (core_.take(std::move(r), e, *this, e.id)) {
-    case Core::Taken::Yes:
+  switch (core_.submit(std::move(r), e, *this, e.id)) {
+    case Core::SubmitResult::Accepted:
       break;
-    case Core::Taken::BadClass:
+    case Core::SubmitResult::InvalidClass:
       return bad(stream, rules_.type);
-    case Core::Taken::IdInUse:
+    case Core::SubmitResult::IdInUse:
       return bad(stream, rules_.id);
-    case Core::Taken::Busy:
+    case Core::SubmitResult::TableFull:
       ++counts_.refused;
       streams_.erase(stream);
       immediate(stream, 429, "busy");
@@ -297,7 +297,7 @@
   e.told = false;
   // A further attempt is decided when the caller comes for it: one that never comes, or whose
   // retries are used up, would fill the servers' limits with attempts that nobody carries.
-  core_.attempt_ended(e.id, attempt, status, std::move(result), status != Status::Ok);
+  core_.on_attempt_ended(e.id, attempt, status, std::move(result), status != Status::Ok);
 }
 
 // ---- decisions ----
@@ -306,14 +306,14 @@
   auto it = by_id_.find(id);
   std::string address = it == by_id_.end() ? std::string() : address_of_(server);
   if (address.empty()) {
-    core_.attempt_ended(id, attempt, Status::ConnectFailed, {});
+    core_.on_attempt_ended(id, attempt, Status::ConnectFailed, {});
     return;
   }
   Exchange& e = *it->second;
   // The caller carries one attempt at a time: a second copy is never sent. Put in the first one's
   // place it took that one's report, and the first ran into a time-out that no server had caused.
   if (e.attempt >= 0) {
-    core_.attempt_ended(id, attempt, Status::Moot, {});
+    core_.on_attempt_ended(id, attempt, Status::Moot, {});
     return;
   }
   e.attempt = attempt;
@@ -360,7 +360,7 @@
   bool refused = e.last->kind == Reply::Kind::Refused;
   ++(refused ? counts_.refused : counts_.failed);
   StreamId stream = e.stream;
-  Micros come_back = e.last->come_back;
+  Micros come_back = e.last->retry_after;
   streams_.erase(stream);
   forget(std::string(e.name));
   immediate(stream, refused ? 429 : 503, refused ? "busy" : "failed", come_back);
--- a/src/extproc/processor.hpp
+++ b/src/extproc/processor.hpp
@@ -39,7 +39,7 @@
   std::size_t streams = 10'000;  ///< open at once, over all connections
 };
 
-class Processor final : public Carrier {
+class Processor final : public AttemptSender {
  public:
   /// Carries answers to callers.
   class Output {
@@ -68,13 +68,13 @@
   /// Forgets final answers that nobody came for. Call about once a second.
   void sweep();
 
-  // Carrier
+  // AttemptSender
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override;
   Status cancel(const std::string& server, RequestId id, int attempt) override;
   /// The caller sends the request itself, with its idempotency header.
-  bool keeps_key(const Request&) const override { return true; }
-  bool remote() const override { return true; }
+  bool supports_idempotency_key(const Request&) const override { return true; }
+  bool sent_by_caller() const override { return true; }
 
   const Counts& counts() const { return counts_; }
   std::size_t open_streams() const { return streams_.size(); }
--- a/src/net/client_codec.cpp
+++ b/src/net/client_codec.cpp
@@ -40,27 +40,27 @@
 /// wait on the same connection.
 ClientCodec::ParseResult MetaClientCodec::parse(std::string_view& in, ParsedCommand& parsed) {
   Command command;
-  switch (reader_.take(in, command)) {
-    case CommandReader::Got::Nothing:
+  switch (reader_.parse(in, command)) {
+    case CommandReader::ParseResult::Incomplete:
       return ParseResult::Incomplete;
-    case CommandReader::Got::Noop:
+    case CommandReader::ParseResult::Noop:
       parsed.answer = operator_drain_ ? "SERVER_ERROR draining\r\n" : "MN\r\n";
       return ParseResult::Answer;
-    case CommandReader::Got::Unknown:
+    case CommandReader::ParseResult::Unknown:
       parsed.answer = "ERROR\r\n";
       return ParseResult::Answer;
-    case CommandReader::Got::Bad:
+    case CommandReader::ParseResult::Malformed:
       parsed.answer = "CLIENT_ERROR bad command\r\n";
       return ParseResult::Answer;
-    case CommandReader::Got::Broken:
+    case CommandReader::ParseResult::FramingLost:
       parsed.answer = "CLIENT_ERROR bad framing\r\n";
       return ParseResult::FinalAnswer;
-    case CommandReader::Got::Command:
+    case CommandReader::ParseResult::Command:
       break;
   }
-  const robinseam::ClassSettings* type = core_.class_of(command.type);
-  if (type && type->effect == robinseam::Effect::Keyed && command.idempotency.empty()) {
-    parsed.answer = rejection({}, Core::Taken::BadClass);
+  const robinseam::ClassSettings* type = core_.find_class(command.class_name);
+  if (type && type->effect == robinseam::Effect::Keyed && command.idempotency_key.empty()) {
+    parsed.answer = rejection({}, Core::SubmitResult::InvalidClass);
     return ParseResult::Answer;
   }
   Request& r = parsed.request;
@@ -68,25 +68,25 @@
   r.write = command.set;
   r.key = std::move(command.key);
   r.id = std::move(command.id);
-  r.type = std::move(command.type);
+  r.class_name = std::move(command.class_name);
   r.tenant = std::move(command.tenant);
-  r.idempotency = std::move(command.idempotency);
-  r.patience = static_cast<Micros>(command.wait_ms * kMillisecond);
+  r.idempotency_key = std::move(command.idempotency_key);
+  r.time_left = static_cast<Micros>(command.time_left_ms * kMillisecond);
   r.work = command.work;
-  r.repeat = command.repeat;
+  r.retry = command.retry;
   r.value = std::move(command.value);
   r.flags = command.flags;
   r.wants_flags = command.wants_flags;
-  r.line_before_wait = std::move(command.before_d);
-  r.line_after_wait = std::move(command.after_d);
+  r.line_before_deadline = std::move(command.line_before_deadline);
+  r.line_after_deadline = std::move(command.line_after_deadline);
   return ParseResult::Request;
 }
 
-std::string MetaClientCodec::rejection(const CommandTag&, Core::Taken why) const {
+std::string MetaClientCodec::rejection(const CommandTag&, Core::SubmitResult why) const {
   switch (why) {
-    case Core::Taken::BadClass:
+    case Core::SubmitResult::InvalidClass:
       return "CLIENT_ERROR bad class\r\n";
-    case Core::Taken::IdInUse:
+    case Core::SubmitResult::IdInUse:
       return "CLIENT_ERROR id in use\r\n";
     default:
       return "SERVER_ERROR busy\r\n";
@@ -96,7 +96,7 @@
 std::string MetaClientCodec::reply(const CommandTag&, const Request& request, Reply&& reply) const {
   if (reply.kind == Reply::Kind::Failed) return "SERVER_ERROR failed\r\n";
   if (reply.kind == Reply::Kind::Refused)
-    return "SERVER_ERROR " + busy_text(reply.come_back) + "\r\n";
+    return "SERVER_ERROR " + busy_text(reply.retry_after) + "\r\n";
   if (request.write) return "HD O" + request.id + " c" + reply.receipt + "\r\n";
   std::string text = "VA " + std::to_string(reply.pipe ? reply.pipe->length() : reply.value.size());
   if (request.wants_flags) text += " f" + std::to_string(reply.flags);
@@ -110,15 +110,15 @@
 
 ClientCodec::ParseResult BinaryClientCodec::parse(std::string_view& in, ParsedCommand& parsed) {
   binary::Command command;
-  auto result = reader_.take(in, command);
-  if (result == binary::CommandReader::Got::Nothing) return ParseResult::Incomplete;
+  auto result = reader_.parse(in, command);
+  if (result == binary::CommandReader::ParseResult::Incomplete) return ParseResult::Incomplete;
   parsed.tag = {command.opcode, command.opaque};
   awaits_barrier_ =
-      result == binary::CommandReader::Got::Command && binary::is_quiet(command.opcode);
-  if (result != binary::CommandReader::Got::Command) {
-    parsed.answer = binary::response(command.opcode, reader_.refused(), command.opaque);
-    return result == binary::CommandReader::Got::Broken ? ParseResult::FinalAnswer
-                                                        : ParseResult::Answer;
+      result == binary::CommandReader::ParseResult::Command && binary::is_quiet(command.opcode);
+  if (result != binary::CommandReader::ParseResult::Command) {
+    parsed.answer = binary::response(command.opcode, reader_.rejection_status(), command.opaque);
+    return result == binary::CommandReader::ParseResult::FramingLost ? ParseResult::FinalAnswer
+                                                                     : ParseResult::Answer;
   }
   if (binary::is_read(command.opcode) || binary::is_write(command.opcode))
     return make_request(command, parsed);
@@ -162,11 +162,11 @@
   r.write = write;
   r.tenant = rules_.tenant_of(command.key);
   r.key = std::move(command.key);
-  r.type = write ? rules_.write_type : rules_.read_type;
-  r.patience = write ? rules_.write_patience : rules_.read_patience;
+  r.class_name = write ? rules_.write_type : rules_.read_type;
+  r.time_left = write ? rules_.write_patience : rules_.read_patience;
   r.wants_flags = !write;
   if (write) {
-    if (command.cas != 0) r.idempotency = receipt_of(command.cas);
+    if (command.cas != 0) r.idempotency_key = receipt_of(command.cas);
     r.flags = command.flags;
     r.expiry = command.expiry;
     r.value = std::make_shared<const std::string>(std::move(command.value));
@@ -183,23 +183,23 @@
   return text + binary::stat(command.opaque, {}, {});
 }
 
-std::string BinaryClientCodec::rejection(const CommandTag& tag, Core::Taken why) const {
+std::string BinaryClientCodec::rejection(const CommandTag& tag, Core::SubmitResult why) const {
   // Ids are assigned by the router here, so none is in use. A class that is missing from the
   // settings comes from a reload.
-  bool busy = why != Core::Taken::BadClass;
+  bool busy = why != Core::SubmitResult::InvalidClass;
   return binary::response(tag.opcode, busy ? binary::status::kBusy : binary::status::kInternal,
                           tag.opaque, busy ? "busy" : "bad class");
 }
 
 std::string BinaryClientCodec::reply(const CommandTag& tag, const Request& request,
                                      Reply&& reply) const {
-  if (reply.missed && !request.write)
+  if (reply.cache_miss && !request.write)
     return binary::is_quiet(tag.opcode)
                ? std::string()
                : binary::response(tag.opcode, binary::status::kNotFound, tag.opaque, "not found");
   if (reply.kind == Reply::Kind::Refused)
     return binary::response(tag.opcode, binary::status::kBusy, tag.opaque,
-                            busy_text(reply.come_back));
+                            busy_text(reply.retry_after));
   if (reply.kind == Reply::Kind::Failed)
     return binary::response(tag.opcode, binary::status::kInternal, tag.opaque, "failed");
   if (!request.write)
--- a/src/net/client_codec.hpp
+++ b/src/net/client_codec.hpp
@@ -48,7 +48,7 @@
   /// the client that the quiet ones are done.
   virtual bool awaits_barrier() const { return false; }
   /// The answer to a request that the core did not accept.
-  virtual std::string rejection(const CommandTag& tag, Core::Taken why) const = 0;
+  virtual std::string rejection(const CommandTag& tag, Core::SubmitResult why) const = 0;
   /// The answer; where `reply` streams its value, only the part in front of the value.
   virtual std::string reply(const CommandTag& tag, const Request& request, Reply&& reply) const = 0;
   /// The bytes that follow a streamed value.
@@ -63,8 +63,10 @@
       : core_(core), operator_drain_(operator_drain), reader_(flags) {}
   ParseResult parse(std::string_view& in, ParsedCommand& parsed) override;
   bool in_command() const override { return reader_.in_command(); }
-  std::size_t size_of_value_in_progress() const override { return reader_.in_value(); }
-  std::string rejection(const CommandTag& tag, Core::Taken why) const override;
+  std::size_t size_of_value_in_progress() const override {
+    return reader_.value_in_progress_bytes();
+  }
+  std::string rejection(const CommandTag& tag, Core::SubmitResult why) const override;
   std::string reply(const CommandTag& tag, const Request& request, Reply&& reply) const override;
   std::string_view value_trailer() const override { return "\r\n"; }
 
@@ -82,7 +84,7 @@
   ParseResult parse(std::string_view& in, ParsedCommand& parsed) override;
   bool in_command() const override { return reader_.in_command(); }
   bool awaits_barrier() const override { return awaits_barrier_; }
-  std::string rejection(const CommandTag& tag, Core::Taken why) const override;
+  std::string rejection(const CommandTag& tag, Core::SubmitResult why) const override;
   std::string reply(const CommandTag& tag, const Request& request, Reply&& reply) const override;
   std::string_view value_trailer() const override { return {}; }
 
--- a/src/net/client_side.cpp
+++ b/src/net/client_side.cpp
@@ -180,16 +180,17 @@
   }
 
   void submit(ClientSlot& slot, Request&& request) {
-    slot.bytes = request.line_before_wait.size() + request.line_after_wait.size() +
+    slot.bytes = request.line_before_deadline.size() + request.line_after_deadline.size() +
                  (request.value && slot.bulk == 0 ? request.value->size() : 0);
-    if (request.line_before_wait.empty()) slot.bytes += binary::kHeader + request.key.size();
+    if (request.line_before_deadline.empty()) slot.bytes += binary::kHeader + request.key.size();
     reserve_bytes(slot.bytes);
     bool refused = over_limit_ || eof_ || disconnect_seen_;  // nothing new for a client that left
-    if (refused) side_.core_.note_refused(request.type);
-    Core::Taken taken = refused
-                            ? Core::Taken::Busy
-                            : side_.core_.take(std::move(request), slot, side_.carrier_, slot.id);
-    if (taken != Core::Taken::Yes) side_.answer(slot, codec_->rejection(slot.tag, taken));
+    if (refused) side_.core_.record_refused(request.class_name);
+    Core::SubmitResult taken =
+        refused ? Core::SubmitResult::TableFull
+                : side_.core_.submit(std::move(request), slot, side_.carrier_, slot.id);
+    if (taken != Core::SubmitResult::Accepted)
+      side_.answer(slot, codec_->rejection(slot.tag, taken));
   }
 
   /// Back-pressure: limits pending commands and answers, per client and for all clients together. A
@@ -244,7 +245,7 @@
 
   void notify_client_left() {
     for (ClientSlot& slot : slots_)
-      if (slot.id && !slot.done) side_.core_.left(slot.id);
+      if (slot.id && !slot.done) side_.core_.on_client_half_closed(slot.id);
   }
 
   ClientSlot& add_slot() {
@@ -446,8 +447,8 @@
   pipe->abandon();
 }
 
-ClientSide::ClientSide(event_base* base, const TimeSource& clock, Core& core, Carrier& carrier,
-                       Limits limits)
+ClientSide::ClientSide(event_base* base, const TimeSource& clock, Core& core,
+                       AttemptSender& carrier, Limits limits)
     : base_(base),
       clock_(clock),
       core_(core),
@@ -612,7 +613,7 @@
   if (c.closed_) return;
   c.closed_ = true;
   for (ClientSlot& slot : c.slots_)
-    if (slot.id && !slot.done) core_.gone(slot.id);
+    if (slot.id && !slot.done) core_.on_client_gone(slot.id);
   c.slots_.clear();
   c.read_.reset();
   c.write_.reset();
@@ -631,7 +632,7 @@
   bulk_bytes_ -= std::exchange(slot.bulk, 0);
   if (pipe) {
     ++streaming_values_;
-    pipe->on_bytes([this, &c] { mark_dirty(c); });
+    pipe->on_readable([this, &c] { mark_dirty(c); });
     slot.pipe = std::move(pipe);
   }
   c.release_bytes(slot.bytes);
--- a/src/net/client_side.hpp
+++ b/src/net/client_side.hpp
@@ -38,11 +38,11 @@
     std::size_t connections = 600;       ///< commands of connections beyond are refused as busy
     std::size_t spare_connections = 50;  ///< accepted beyond `connections`, to refuse commands
     std::size_t held_bytes = 32u << 20;  ///< of commands and answers, all clients together
-    std::size_t bulk_bytes = kMaxBulk;   ///< of values over kMaxValue that clients write
+    std::size_t bulk_bytes = kMaxLargeValue;  ///< of values over kMaxValue that clients write
   };
 
   /// Passes requests to `core`, which sends their attempts through `carrier`.
-  ClientSide(event_base* base, const TimeSource& clock, Core& core, Carrier& carrier,
+  ClientSide(event_base* base, const TimeSource& clock, Core& core, AttemptSender& carrier,
              Limits limits);
   ~ClientSide();
 
@@ -116,7 +116,7 @@
   event_base* base_;
   const TimeSource& clock_;
   Core& core_;
-  Carrier& carrier_;
+  AttemptSender& carrier_;
   Limits limits_;
   BinaryRules rules_;
   StatsProvider stats_;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -61,7 +61,7 @@
   if (!c.control.empty()) others += ControlServer::kMaxConnections + 1;
   l.connections = c.sockets > others ? c.sockets - others : 1;
   l.held_bytes = c.memory_bytes / 4;
-  l.bulk_bytes = std::max(kMaxBulk, c.memory_bytes / 6);
+  l.bulk_bytes = std::max(kMaxLargeValue, c.memory_bytes / 6);
   return l;
 }
 
@@ -88,7 +88,7 @@
 }
 
 /// Turns the exception of the module's check of the settings into a ConfigError.
-Core make_core(const Config& c, const TimeSource& clock, Lister& lister) try {
+Core make_core(const Config& c, const TimeSource& clock, ListSource& lister) try {
   return Core(c.settings, c.seed, clock, lister, max_open(c), c.memory_bytes / kMemoryPerIdBytes);
 } catch (const std::invalid_argument& e) {
   throw ConfigError(std::string("settings: ") + e.what());
@@ -189,12 +189,12 @@
 void Router::run() {
   while (!done_) {
     do {
-      core_.turn();
+      core_.process_events();
       // Requests are sent before answers, since they have the longer way to go.
       servers_.flush();
       clients_.flush();
       for (Frontend* frontend : frontends_) frontend->flush();
-    } while (core_.pending() || servers_.dirty() || clients_.dirty());
+    } while (core_.has_pending_events() || servers_.dirty() || clients_.dirty());
     update_recovery();
     arm_timer();
     event_base_loop(base_, EVLOOP_ONCE);
@@ -207,7 +207,7 @@
   const std::pair<const char*, const std::string&> types[] = {{"read", next.binary.read_type},
                                                               {"write", next.binary.write_type}};
   for (const auto& [what, type] : types)
-    if (!type.empty() && !core_.class_of(type))
+    if (!type.empty() && !core_.find_class(type))
       throw ConfigError(std::string("binary.") + what + "_class: '" + type +
                         "' is not a class of the active settings");
   if (next.settings != config_.settings || next.links != config_.links ||
@@ -276,7 +276,7 @@
   log_leaving(discovered);
   HostList list = operator_overrides_.apply_list(std::move(discovered));
   servers_.apply_list(list);
-  core_.list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
+  core_.on_list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
 
 void Router::on_drains(const HostList& list, bool drain_unlisted) {
@@ -295,7 +295,7 @@
 /// The module asks for a watch at the pace of a router that has no server. While a server is
 /// usable, only src/membership/call_schedule plans the calls: a second plan would double their
 /// number.
-void Router::watch() {
+void Router::watch_list() {
   if (!(has_ready_server() && discovery_.planned())) discovery_.watch();
 }
 
@@ -327,7 +327,7 @@
 
 void Router::update_recovery() {
   std::uint64_t served = 0, unserved = 0;
-  for (const Core::Counts::Ends& e : core_.counts().ends)
+  for (const Core::Counts::Replies& e : core_.counts().replies_by_class)
     served += e.served, unserved += e.refused + e.failed;
   if (served + unserved != last_served_ + last_unserved_)
     recovery_.ended(clock_.now(), static_cast<int>(served - std::exchange(last_served_, served)),
@@ -434,8 +434,8 @@
   HostList part = operator_overrides_.set_disabled(disabled, clock_.now());
   if (part.hosts.empty()) return;
   servers_.apply_list(part);
-  core_.list(ListScope::Delta, servers_of(part));
-  core_.turn();  // the caller's answer promises that decisions take it into account
+  core_.on_list(ListScope::Delta, servers_of(part));
+  core_.process_events();  // the caller's answer promises that decisions take it into account
 }
 
 std::string Router::metrics() const {
@@ -443,11 +443,11 @@
                          {"busy", nlohmann::json::object()},
                          {"failure", nlohmann::json::object()}};
   const Core::Counts& counts = core_.counts();
-  for (std::size_t k = 0; k < counts.ends.size(); ++k) {
+  for (std::size_t k = 0; k < counts.replies_by_class.size(); ++k) {
     const std::string& name = core_.classes()[k].name;
-    json["success"][name] = counts.ends[k].served;
-    json["busy"][name] = counts.ends[k].refused;
-    json["failure"][name] = counts.ends[k].failed;
+    json["success"][name] = counts.replies_by_class[k].served;
+    json["busy"][name] = counts.replies_by_class[k].refused;
+    json["failure"][name] = counts.replies_by_class[k].failed;
   }
   json["backend_calls"] = servers_.counts().written;
   json["inflight"] = core_.unanswered() + clients_.streaming_values();
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -26,7 +26,7 @@
 
 class Router final : ServerSide::Handler,
                      Discovery::Handler,
-                     Lister,
+                     ListSource,
                      ControlServer::Handler,
                      Handover::Handler {
  public:
@@ -67,16 +67,16 @@
  private:
   // ServerSide::Handler
   void on_attempt_end(RequestId id, int attempt, Status status, AttemptResult&& result) override {
-    core_.attempt_ended(id, attempt, status, std::move(result));
+    core_.on_attempt_ended(id, attempt, status, std::move(result));
   }
   // Discovery::Handler
   void on_hosts(HostList&& list) override;
   void on_drains(const HostList& list, bool drain_unlisted) override;
   void on_call_failed() override { recovery_.failed(clock_.now()); }
-  void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
-  // Lister
-  void watch() override;
-  void fetch() override { discovery_.fetch(); }
+  void on_hosts_failed() override { core_.on_list(robinseam::ListScope::Failed, {}); }
+  // ListSource
+  void watch_list() override;
+  void fetch_list() override { discovery_.fetch(); }
 
   // ControlServer::Handler
   std::string on_control_call(const ControlCall& call) override;
--- a/src/net/server_codec.cpp
+++ b/src/net/server_codec.cpp
@@ -22,9 +22,10 @@
     std::string text;
     bool bulk = r.value && r.value->size() > kMaxValue;
     std::size_t value = r.value && !bulk ? r.value->size() + 2 : 0;
-    if (!r.line_before_wait.empty()) {
-      text.reserve(r.line_before_wait.size() + wait.size() + r.line_after_wait.size() + 2 + value);
-      text.append(r.line_before_wait).append(wait).append(r.line_after_wait);
+    if (!r.line_before_deadline.empty()) {
+      text.reserve(r.line_before_deadline.size() + wait.size() + r.line_after_deadline.size() + 2 +
+                   value);
+      text.append(r.line_before_deadline).append(wait).append(r.line_after_deadline);
     } else {
       text.reserve(128 + r.key.size() + value);
       append_command(r, wait, text);
@@ -38,26 +39,26 @@
   Parsed parse(std::string_view& in, const ExpectedAnswer* next, Answer& answer) override {
     arrowfork::Answer read;
     auto parsed = Parsed::Answer;
-    switch (reader_.take(in, read)) {
-      case AnswerReader::Got::Begin:
+    switch (reader_.parse(in, read)) {
+      case AnswerReader::ParseResult::LargeValue:
         parsed = Parsed::ValueStart;
         break;
-      case AnswerReader::Got::Nothing:
+      case AnswerReader::ParseResult::Incomplete:
         return Parsed::Incomplete;
-      case AnswerReader::Got::Broken:
+      case AnswerReader::ParseResult::Malformed:
         return Parsed::Invalid;
-      case AnswerReader::Got::Answer:
+      case AnswerReader::ParseResult::Answer:
         break;
     }
     if (!next || !matches(*next, read)) return Parsed::Invalid;
     answer.status = status_of(read);
     answer.identified = !read.id.empty();
-    answer.framing_lost = read.last;
+    answer.framing_lost = read.framing_lost;
     answer.value_length = read.length;
     answer.result.value = std::move(read.value);
     answer.result.receipt = std::move(read.receipt);
     answer.result.flags = read.flags.value_or(0);
-    answer.result.note = read.note;
+    answer.result.cache_result = read.cache_result;
     answer.result.report = std::move(read.report);
     return parsed;
   }
@@ -80,11 +81,11 @@
     if (r.wants_flags) text.append(" f");
     if (r.flags) text.append(" F").append(std::to_string(r.flags));
     if (r.expiry) text.append(" T").append(std::to_string(r.expiry));
-    text.append(" O").append(r.id).append(" Pc=").append(r.type);
+    text.append(" O").append(r.id).append(" Pc=").append(r.class_name);
     if (!r.tenant.empty()) text.append(",t=").append(r.tenant);
     text.append(",d=").append(wait);
-    if (!r.idempotency.empty()) text.append(",k=").append(r.idempotency);
-    if (r.repeat) text.append(",r=1");
+    if (!r.idempotency_key.empty()) text.append(",k=").append(r.idempotency_key);
+    if (r.retry) text.append(",r=1");
     if (r.work) text.append(",h=").append(std::to_string(*r.work));
   }
 
@@ -125,8 +126,8 @@
     c.opaque = opaque;
     c.flags = r.flags;
     c.expiry = r.expiry;
-    if (cas_is_key_ && r.write && is_representable_as_cas(r.idempotency))
-      c.cas = cas_of(r.idempotency);
+    if (cas_is_key_ && r.write && is_representable_as_cas(r.idempotency_key))
+      c.cas = cas_of(r.idempotency_key);
     c.key = r.key;
     if (r.value) c.value = *r.value;
     return {binary::request(c), nullptr, {}};
@@ -134,12 +135,12 @@
 
   Parsed parse(std::string_view& in, const ExpectedAnswer* next, Answer& answer) override {
     binary::Answer read;
-    switch (reader_.take(in, read)) {
-      case binary::AnswerReader::Got::Nothing:
+    switch (reader_.parse(in, read)) {
+      case binary::AnswerReader::ParseResult::Incomplete:
         return Parsed::Incomplete;
-      case binary::AnswerReader::Got::Broken:
+      case binary::AnswerReader::ParseResult::Malformed:
         return Parsed::Invalid;
-      case binary::AnswerReader::Got::Answer:
+      case binary::AnswerReader::ParseResult::Answer:
         break;
     }
     if (!next || !matches(*next, read)) return Parsed::Invalid;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -139,7 +139,7 @@
   ++side_.open_pipes_;
   pipe_ = std::make_shared<ValuePipe>(answer.value_length, side_.pipe_window());
   value_bytes_left_ = answer.value_length + 2;
-  pipe_->on_room([this] { update_reading(); });
+  pipe_->on_writable([this] { update_reading(); });
   answer.result.pipe = pipe_;
 }
 
@@ -149,7 +149,7 @@
   side_.counts_.broken_streams += !whole && !pipe_->abandoned();
   std::shared_ptr<ValuePipe> pipe = std::move(pipe_);
   pipe_.reset();
-  pipe->on_room(nullptr);
+  pipe->on_writable(nullptr);
   whole ? pipe->finish() : pipe->fail();
 }
 
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -77,8 +77,9 @@
   });
 }
 
-bool ServerSide::keeps_key(const Request& request) const {
-  return !any_binary_ || (rules_.cas_is_server_key && is_representable_as_cas(request.idempotency));
+bool ServerSide::supports_idempotency_key(const Request& request) const {
+  return !any_binary_ ||
+         (rules_.cas_is_server_key && is_representable_as_cas(request.idempotency_key));
 }
 
 /// A change of protocol closes the server's connections: the attempts in flight on them would fail
@@ -320,8 +321,8 @@
   bool usable = it != pools_.end() && it->second->usable;
   // The request was accepted when all servers kept idempotency keys; this server has joined since
   // and would not detect a repeated write.
-  if (usable && request.keyed && it->second->protocol == ServerProtocol::Binary)
-    usable = keeps_key(request);
+  if (usable && request.deduplicated && it->second->protocol == ServerProtocol::Binary)
+    usable = supports_idempotency_key(request);
   ServerConnection* c = usable ? pick(*it->second) : nullptr;
   if (!c) {
     ++counts_.no_connection;
@@ -349,7 +350,8 @@
   schedule_flush(*c);
 }
 
-std::optional<Status> ServerSide::end(const std::string& server, RequestId id, int attempt) {
+std::optional<Status> ServerSide::stop_for_retry(const std::string& server, RequestId id,
+                                                 int attempt) {
   auto it = pools_.find(server);
   if (it == pools_.end()) return Status::Cancelled;
   for (auto& owner : it->second->connections) {
@@ -372,7 +374,7 @@
   return Status::Cancelled;
 }
 
-bool ServerSide::take_back(const std::string& server, RequestId id, int attempt) {
+bool ServerSide::withdraw(const std::string& server, RequestId id, int attempt) {
   auto it = pools_.find(server);
   if (it == pools_.end()) return false;
   for (auto& owner : it->second->connections) {
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -21,7 +21,7 @@
 class ServerConnection;
 struct ServerPool;
 
-class ServerSide final : public Carrier {
+class ServerSide final : public AttemptSender {
  public:
   /// Receives the ends of attempts. Called from within the event loop, and from send() and
   /// cancel(); must not call back into ServerSide.
@@ -64,14 +64,15 @@
   Status cancel(const std::string& server, RequestId id, int attempt) override;
   /// A written attempt is in flight as long as its connection is open. So the connection is closed,
   /// if no other attempt on it is awaited and the close budget allows it.
-  std::optional<Status> end(const std::string& server, RequestId id, int attempt) override;
+  std::optional<Status> stop_for_retry(const std::string& server, RequestId id,
+                                       int attempt) override;
   /// Withdrawing an attempt that is partly written closes its connection. This is done only if no
   /// attempt that may have started is awaited there.
-  bool take_back(const std::string& server, RequestId id, int attempt) override;
+  bool withdraw(const std::string& server, RequestId id, int attempt) override;
   /// The binary protocol has no field for an idempotency key, so false while a listed server speaks
   /// it. If those servers take the CAS as the key (`server_idempotency`), keys that a CAS can
   /// represent are kept.
-  bool keeps_key(const Request& request) const override;
+  bool supports_idempotency_key(const Request& request) const override;
   /// Counts since the process started, for the log.
   struct Counts {
     std::uint64_t dials = 0, failed_dials = 0, pipelined = 0, no_connection = 0;
--- a/src/protocol/binary.cpp
+++ b/src/protocol/binary.cpp
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-CommandReader::Got CommandReader::take_header(Command& command) {
+CommandReader::ParseResult CommandReader::parse_header(Command& command) {
   std::string_view h = partial_;
   pending_ = Command();
   pending_.opcode = static_cast<Opcode>(load<std::uint8_t>(h, 1));
@@ -92,7 +92,7 @@
   if (!framed) {
     refused_ = status::kInvalid;
     command = pending_;
-    return Got::Broken;
+    return ParseResult::FramingLost;
   }
   refused_ = check(pending_.opcode, key_, extras_, body - key_ - extras_);
   if (refused_ == status::kOk && !raw) refused_ = status::kInvalid;
@@ -100,39 +100,40 @@
   if (refused_ == status::kOk) {
     state_ = State::Body;
     partial_.reserve(std::min(need_, kFirstReserve));
-    return Got::Nothing;
+    return ParseResult::Incomplete;
   }
   if (body > kSkipMost) {
     if (refused_ != status::kTooLarge && !is_write(pending_.opcode)) refused_ = status::kInvalid;
     command = pending_;
-    return Got::Broken;
+    return ParseResult::FramingLost;
   }
   state_ = State::Skip;  // told once its body is past
-  return Got::Nothing;
+  return ParseResult::Incomplete;
 }
 
-CommandReader::Got CommandReader::take(std::string_view& in, Command& command) {
+CommandReader::ParseResult CommandReader::parse(std::string_view& in, Command& command) {
   while (true) {
     if (state_ == State::Header) {
-      if (in.empty()) return Got::Nothing;
+      if (in.empty()) return ParseResult::Incomplete;
       // No header need be waited for whole to see that it is none.
       if (partial_.empty() && static_cast<unsigned char>(in.front()) != kRequestMagic) {
         command = Command();
         refused_ = status::kInvalid;
-        return Got::Broken;
+        return ParseResult::FramingLost;
       }
-      if (!fill(in, partial_, kHeader)) return Got::Nothing;
-      if (Got got = take_header(command); got != Got::Nothing) return got;
+      if (!fill(in, partial_, kHeader)) return ParseResult::Incomplete;
+      if (ParseResult result = parse_header(command); result != ParseResult::Incomplete)
+        return result;
     } else if (state_ == State::Skip) {
       std::size_t size = std::min(need_, in.size());
       in.remove_prefix(size);
       need_ -= size;
-      if (need_ > 0) return Got::Nothing;
+      if (need_ > 0) return ParseResult::Incomplete;
       state_ = State::Header;
       command = pending_;
-      return Got::Refused;
+      return ParseResult::Rejected;
     } else {
-      if (!fill(in, partial_, need_)) return Got::Nothing;
+      if (!fill(in, partial_, need_)) return ParseResult::Incomplete;
       state_ = State::Header;
       if (is_write(pending_.opcode)) {
         pending_.flags = load<std::uint32_t>(partial_, 0);
@@ -143,12 +144,12 @@
       pending_.value = std::move(partial_);
       partial_.clear();
       command = std::move(pending_);
-      return Got::Command;
+      return ParseResult::Command;
     }
   }
 }
 
-bool AnswerReader::take_header() {
+bool AnswerReader::parse_header() {
   std::string_view h = partial_;
   pending_ = Answer();
   pending_.opcode = load<std::uint8_t>(h, 1);
@@ -170,16 +171,16 @@
   return true;
 }
 
-AnswerReader::Got AnswerReader::take(std::string_view& in, Answer& answer) {
+AnswerReader::ParseResult AnswerReader::parse(std::string_view& in, Answer& answer) {
   while (true) {
     if (!in_body_) {
-      if (in.empty()) return Got::Nothing;
+      if (in.empty()) return ParseResult::Incomplete;
       if (partial_.empty() && static_cast<unsigned char>(in.front()) != kResponseMagic)
-        return Got::Broken;
-      if (!fill(in, partial_, kHeader)) return Got::Nothing;
-      if (!take_header()) return Got::Broken;
+        return ParseResult::Malformed;
+      if (!fill(in, partial_, kHeader)) return ParseResult::Incomplete;
+      if (!parse_header()) return ParseResult::Malformed;
     }
-    if (!fill(in, partial_, need_)) return Got::Nothing;
+    if (!fill(in, partial_, need_)) return ParseResult::Incomplete;
     in_body_ = false;
     if (extras_ == kGetExtras) pending_.flags = load<std::uint32_t>(partial_, 0);
     pending_.key.assign(partial_, extras_, key_);
@@ -187,7 +188,7 @@
     pending_.value = std::move(partial_);
     partial_.clear();
     answer = std::move(pending_);
-    return Got::Answer;
+    return ParseResult::Answer;
   }
 }
 
@@ -206,12 +207,12 @@
 
 std::string response(Opcode opcode, std::uint16_t status, std::uint32_t opaque,
                      std::string_view value, std::string_view key, std::uint32_t flags,
-                     std::uint64_t cas, std::size_t to_come) {
+                     std::uint64_t cas, std::size_t remaining_value_bytes) {
   std::string text;
   bool read = is_read(opcode) && status == status::kOk;
-  if (!read || !tells_key(opcode)) key = {};
+  if (!read || !includes_key(opcode)) key = {};
   store_header(text, kResponseMagic, static_cast<std::uint8_t>(opcode), key.size(),
-               read ? kGetExtras : 0, status, value.size() + to_come, opaque, cas);
+               read ? kGetExtras : 0, status, value.size() + remaining_value_bytes, opaque, cas);
   if (read) store(text, flags);
   text.append(key).append(value);
   return text;
--- a/src/protocol/binary.hpp
+++ b/src/protocol/binary.hpp
@@ -39,7 +39,7 @@
   return o == Opcode::GetQ || o == Opcode::GetKQ || o == Opcode::SetQ || o == Opcode::QuitQ;
 }
 /// Its answer to a read names the key.
-constexpr bool tells_key(Opcode o) { return o == Opcode::GetK || o == Opcode::GetKQ; }
+constexpr bool includes_key(Opcode o) { return o == Opcode::GetK || o == Opcode::GetKQ; }
 
 namespace status {
 constexpr std::uint16_t kOk = 0x0000, kNotFound = 0x0001, kTooLarge = 0x0003, kInvalid = 0x0004,
@@ -56,25 +56,26 @@
   std::string key, value;
 };
 
-/// Reads requests. `take` consumes from `in`; what it can't finish yet it keeps, at most a header,
+/// Reads requests. `parse` consumes from `in`; what it can't finish yet it keeps, at most a header,
 /// a key and kMaxValue bytes.
 class CommandReader {
  public:
-  enum class Got {
-    Nothing,  ///< all of `in` is consumed, no packet is whole
-    Command,  ///< `command` is whole
-    Refused,  ///< its opcode and opaque are in `command`, why in refused(); the next packet follows
-    Broken,   ///< the same, but where the next packet begins is lost: answer and close
+  enum class ParseResult {
+    Incomplete,   ///< all of `in` is consumed, no packet is whole
+    Command,      ///< `command` is whole
+    Rejected,     ///< its opcode and opaque are in `command`, why in rejection_status(); the next
+                  ///< packet follows
+    FramingLost,  ///< the same, but where the next packet begins is lost: answer and close
   };
-  Got take(std::string_view& in, Command& command);
+  ParseResult parse(std::string_view& in, Command& command);
   /// The status that a packet not taken is to be answered with.
-  std::uint16_t refused() const { return refused_; }
+  std::uint16_t rejection_status() const { return refused_; }
   /// True while a packet has come in part.
   bool in_command() const { return !partial_.empty() || state_ != State::Header; }
 
  private:
   enum class State { Header, Body, Skip };
-  Got take_header(Command& command);
+  ParseResult parse_header(Command& command);
 
   State state_ = State::Header;
   std::string partial_;  // of the header, then of extras, key and value
@@ -96,17 +97,17 @@
 /// Reads responses of one connection, in their order.
 class AnswerReader {
  public:
-  enum class Got {
-    Nothing,  ///< all of `in` is consumed, no packet is whole
-    Answer,   ///< `answer` is whole
-    Broken,   ///< no response of the protocol; the connection is of no more use
+  enum class ParseResult {
+    Incomplete,  ///< all of `in` is consumed, no packet is whole
+    Answer,      ///< `answer` is whole
+    Malformed,   ///< no response of the protocol; the connection is of no more use
   };
-  Got take(std::string_view& in, Answer& answer);
+  ParseResult parse(std::string_view& in, Answer& answer);
   /// True while a packet has come in part.
   bool in_answer() const { return !partial_.empty() || in_body_; }
 
  private:
-  bool take_header();
+  bool parse_header();
 
   bool in_body_ = false;
   std::string partial_;
@@ -118,10 +119,11 @@
 std::string request(const Command& command);
 
 /// The bytes of a response. `flags` go out with a read's kOk alone, `key` where the opcode tells
-/// it. `to_come`: bytes of the value that follow apart from this.
+/// it. `remaining_value_bytes`: bytes of the value that follow apart from this.
 std::string response(Opcode opcode, std::uint16_t status, std::uint32_t opaque,
                      std::string_view value = {}, std::string_view key = {},
-                     std::uint32_t flags = 0, std::uint64_t cas = 0, std::size_t to_come = 0);
+                     std::uint32_t flags = 0, std::uint64_t cas = 0,
+                     std::size_t remaining_value_bytes = 0);
 /// One figure of a STAT answer; without name and value, its end.
 std::string stat(std::uint32_t opaque, std::string_view name, std::string_view value);
 
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -124,17 +124,17 @@
     if (eq == pair.npos || eq == 0 || eq + 1 == pair.size()) return false;
     std::string_view name = pair.substr(0, eq), value = pair.substr(eq + 1);
     if (name == "c") {
-      if (!command.type.empty()) return false;
-      command.type = value;
+      if (!command.class_name.empty()) return false;
+      command.class_name = value;
     } else if (name == "t") {
       if (!command.tenant.empty()) return false;
       command.tenant = value;
     } else if (name == "k") {
-      if (!command.idempotency.empty() || !well_sized(value, kMaxId)) return false;
-      command.idempotency = value;
+      if (!command.idempotency_key.empty() || !well_sized(value, kMaxId)) return false;
+      command.idempotency_key = value;
     } else if (name == "r") {
       if (value != "1" && value != "0") return false;
-      command.repeat = value == "1";
+      command.retry = value == "1";
     } else if (name == "h") {
       auto work = amount(value);
       if (!work || command.work) return false;
@@ -144,71 +144,73 @@
     } else if (name == "d") {
       auto wait = amount(value);
       if (!wait || !at_d.empty()) return false;
-      command.wait_ms = *wait;
+      command.time_left_ms = *wait;
       at_d = value;
     }
   }
-  if (command.type.empty() || at_d.empty()) return false;
+  if (command.class_name.empty() || at_d.empty()) return false;
   std::size_t cut = static_cast<std::size_t>(at_d.data() - line.data());
-  command.before_d = line.substr(0, cut);
-  command.after_d = line.substr(cut + at_d.size());
+  command.line_before_deadline = line.substr(0, cut);
+  command.line_after_deadline = line.substr(cut + at_d.size());
   return true;
 }
 
-CommandReader::Got CommandReader::take_line(std::string_view line, Command& command) {
+CommandReader::ParseResult CommandReader::parse_command_line(std::string_view line,
+                                                             Command& command) {
   bool good = printable(line);
   std::string_view rest = line;
   std::string_view verb = next_word(rest);
-  if (verb == "mn" && good) return Got::Noop;
-  if (verb != "mg" && verb != "ms") return Got::Unknown;
+  if (verb == "mn" && good) return ParseResult::Noop;
+  if (verb != "mg" && verb != "ms") return ParseResult::Unknown;
   command = Command();
   command.set = verb == "ms";
-  if (!command.set) return good && parse_line(line, command) ? Got::Command : Got::Bad;
+  if (!command.set)
+    return good && parse_line(line, command) ? ParseResult::Command : ParseResult::Malformed;
   next_word(rest);
   auto length = number<std::size_t>(next_word(rest));
   // Without its length nobody can tell where the value ends; one that is too long is not waited
   // for.
-  if (!length || *length > kMaxBulk) return Got::Broken;
+  if (!length || *length > kMaxLargeValue) return ParseResult::FramingLost;
   value_need_ = value_size_ = *length + 2;
   if (!good || !parse_line(line, command)) {
     state_ = State::Skip;  // told once its value is past
-    return Got::Nothing;
+    return ParseResult::Incomplete;
   }
   state_ = State::Value;
   value_ = std::make_shared<std::string>();
   // A large one is not let grow by doubling; its pages are not there before its bytes.
   value_->reserve(value_need_ > kMaxValue ? value_need_ : std::min(value_need_, kFirstReserve));
   pending_ = std::move(command);
-  return Got::Nothing;
+  return ParseResult::Incomplete;
 }
 
-CommandReader::Got CommandReader::take(std::string_view& in, Command& command) {
+CommandReader::ParseResult CommandReader::parse(std::string_view& in, Command& command) {
   while (true) {
     if (state_ == State::Line) {
-      if (in.empty()) return Got::Nothing;
+      if (in.empty()) return ParseResult::Incomplete;
       bool too_long = false;
       auto line = take_text_line(in, partial_, too_long);
-      if (too_long) return Got::Broken;
-      if (!line) return Got::Nothing;
-      Got got = take_line(*line, command);
+      if (too_long) return ParseResult::FramingLost;
+      if (!line) return ParseResult::Incomplete;
+      ParseResult result = parse_command_line(*line, command);
       partial_.clear();
-      if (got != Got::Nothing) return got;
+      if (result != ParseResult::Incomplete) return result;
     } else if (state_ == State::Value) {
       take_bytes(in, *value_, value_need_);
-      if (value_need_ > 0) return Got::Nothing;
+      if (value_need_ > 0) return ParseResult::Incomplete;
       state_ = State::Line;
-      if (!ends_line(*value_)) return Got::Broken;
+      if (!ends_line(*value_)) return ParseResult::FramingLost;
       value_->resize(value_->size() - 2);
       pending_.value = std::move(value_);
       command = std::move(pending_);
-      return Got::Command;
+      return ParseResult::Command;
     } else {
       std::size_t size = std::min(value_need_, in.size());
       in.remove_prefix(size);
       value_need_ -= size;
-      if (value_need_ > 0) return Got::Nothing;
+      if (value_need_ > 0) return ParseResult::Incomplete;
       state_ = State::Line;
-      return Got::Bad;
+      return ParseResult::Malformed;
     }
   }
 }
@@ -270,7 +272,7 @@
   if (verb == "VA") {
     answer.kind = Answer::Kind::Value;
     auto length = number<std::size_t>(next_word(rest));
-    if (!length || *length > kMaxBulk) return false;
+    if (!length || *length > kMaxLargeValue) return false;
     answer.length = *length;
   } else if (verb == "HD") {
     answer.kind = Answer::Kind::Stored;
@@ -281,8 +283,8 @@
   } else if (verb == "NS" || verb == "EX" || verb == "NF") {
     answer.kind = Answer::Kind::Error;
   } else {
-    answer.last = verb == "CLIENT_ERROR" || verb == "ERROR";
-    return answer.last;
+    answer.framing_lost = verb == "CLIENT_ERROR" || verb == "ERROR";
+    return answer.framing_lost;
   }
   bool fetching = false;
   while (!rest.empty()) {
@@ -302,7 +304,7 @@
         answer.flags = number<std::uint32_t>(value);
         break;
       case 'h':
-        answer.note = value == "1" ? 1 : value == "0" ? 2 : 0;
+        answer.cache_result = value == "1" ? 1 : value == "0" ? 2 : 0;
         break;
       case 'Z':
         fetching = true;
@@ -314,7 +316,7 @@
   bool served = answer.kind == Answer::Kind::Value || answer.kind == Answer::Kind::Stored;
   if (served && answer.id.empty()) return false;
   if (answer.kind == Answer::Kind::Stored && answer.receipt.empty()) return false;
-  if (fetching && answer.note == 2) answer.note = 3;
+  if (fetching && answer.cache_result == 2) answer.cache_result = 3;
   if (!report.empty()) parse_report(report, answer);
   return true;
 }
@@ -338,31 +340,31 @@
   return state_ == State::Value && ends_line(pending_.value);
 }
 
-AnswerReader::Got AnswerReader::take(std::string_view& in, Answer& answer) {
+AnswerReader::ParseResult AnswerReader::parse(std::string_view& in, Answer& answer) {
   while (true) {
     if (state_ == State::Line) {
-      if (in.empty()) return Got::Nothing;
+      if (in.empty()) return ParseResult::Incomplete;
       bool too_long = false;
       auto line = take_text_line(in, partial_, too_long);
-      if (too_long) return Got::Broken;
-      if (!line) return may_begin(partial_) ? Got::Nothing : Got::Broken;
+      if (too_long) return ParseResult::Malformed;
+      if (!line) return may_begin(partial_) ? ParseResult::Incomplete : ParseResult::Malformed;
       bool good = parse_line(*line, answer);
       partial_.clear();
-      if (!good) return Got::Broken;
-      if (answer.kind != Answer::Kind::Value) return Got::Answer;
-      if (answer.length > kMaxValue) return Got::Begin;
+      if (!good) return ParseResult::Malformed;
+      if (answer.kind != Answer::Kind::Value) return ParseResult::Answer;
+      if (answer.length > kMaxValue) return ParseResult::LargeValue;
       need_ = answer.length + 2;
       pending_ = std::move(answer);
       pending_.value.reserve(std::min(need_, std::max(in.size(), kFirstReserve)));
       state_ = State::Value;
     }
     take_bytes(in, pending_.value, need_);
-    if (need_ > 0) return Got::Nothing;
+    if (need_ > 0) return ParseResult::Incomplete;
     state_ = State::Line;
-    if (!ends_line(pending_.value)) return Got::Broken;
+    if (!ends_line(pending_.value)) return ParseResult::Malformed;
     pending_.value.resize(pending_.length);
     answer = std::move(pending_);
-    return Got::Answer;
+    return ParseResult::Answer;
   }
 }
 
--- a/src/rig/cache_server.cpp
+++ b/src/rig/cache_server.cpp
@@ -158,22 +158,23 @@
           binary::response(binary::Opcode::Noop, binary::status::kInvalid, 0, "bad magic"));
     while (!in.empty()) {
       Command c;
-      auto got = meta_.take(in, c);
-      if (got == CommandReader::Got::Nothing) return;
-      if (got == CommandReader::Got::Noop) {
+      auto got = meta_.parse(in, c);
+      if (got == CommandReader::ParseResult::Incomplete) return;
+      if (got == CommandReader::ParseResult::Noop) {
         owe("MN\r\n");
         continue;
       }
-      if (got == CommandReader::Got::Broken || got == CommandReader::Got::Unknown)
+      if (got == CommandReader::ParseResult::FramingLost ||
+          got == CommandReader::ParseResult::Unknown)
         return unreadable("ERROR\r\n");
-      if (got != CommandReader::Got::Command) return unreadable("CLIENT_ERROR bad\r\n");
+      if (got != CommandReader::ParseResult::Command) return unreadable("CLIENT_ERROR bad\r\n");
       ++server_.counts_.begun;
       std::string id = fault() == Fault::OtherKey ? "of-another" : c.id;
       if (fault() == Fault::Full || fault() == Fault::Failing) {
         owe(fault() == Fault::Full ? "SERVER_ERROR busy 20\r\n" : "SERVER_ERROR failed\r\n");
       } else if (c.set) {
         ++server_.counts_.writes;
-        std::string receipt = write(c.key, {*c.value, c.flags}, c.idempotency);
+        std::string receipt = write(c.key, {*c.value, c.flags}, c.idempotency_key);
         owe_answer("HD O" + id + " c" + receipt + "\r\n");
       } else if (!held(c.key)) {
         owe_answer("EN\r\n");
@@ -192,12 +193,12 @@
     if (!server_.options_.binary || fault() == Fault::WrongProtocol) return unreadable("ERROR\r\n");
     while (!in.empty()) {
       binary::Command c;
-      auto got = binary_reader_.take(in, c);
-      if (got == binary::CommandReader::Got::Nothing) return;
-      if (got == binary::CommandReader::Got::Broken)
-        return unreadable(binary::response(c.opcode, binary_reader_.refused(), c.opaque));
-      if (got == binary::CommandReader::Got::Refused) {
-        owe(binary::response(c.opcode, binary_reader_.refused(), c.opaque));
+      auto got = binary_reader_.parse(in, c);
+      if (got == binary::CommandReader::ParseResult::Incomplete) return;
+      if (got == binary::CommandReader::ParseResult::FramingLost)
+        return unreadable(binary::response(c.opcode, binary_reader_.rejection_status(), c.opaque));
+      if (got == binary::CommandReader::ParseResult::Rejected) {
+        owe(binary::response(c.opcode, binary_reader_.rejection_status(), c.opaque));
         continue;
       }
       ++server_.counts_.begun;
--- a/src/rig/calling_proxy.cpp
+++ b/src/rig/calling_proxy.cpp
@@ -207,17 +207,17 @@
       std::string_view bytes(data, static_cast<std::size_t>(got));
       if (binary) {
         binary::Answer a;
-        auto what = reader.take(bytes, a);
-        if (what == binary::AnswerReader::Got::Nothing) continue;
-        if (what == binary::AnswerReader::Got::Broken || a.opaque != 1) return 0;
+        auto what = reader.parse(bytes, a);
+        if (what == binary::AnswerReader::ParseResult::Incomplete) continue;
+        if (what == binary::AnswerReader::ParseResult::Malformed || a.opaque != 1) return 0;
         return a.status == binary::status::kOk     ? 200
                : a.status == binary::status::kBusy ? 503
                                                    : 500;
       }
       Answer a;
-      auto what = meta.take(bytes, a);
-      if (what == AnswerReader::Got::Nothing) continue;
-      if (what != AnswerReader::Got::Answer || a.last) return 0;
+      auto what = meta.parse(bytes, a);
+      if (what == AnswerReader::ParseResult::Incomplete) continue;
+      if (what != AnswerReader::ParseResult::Answer || a.framing_lost) return 0;
       if (a.kind == Answer::Kind::Busy) return 503;
       if (a.kind == Answer::Kind::Error || a.kind == Answer::Kind::Miss) return 500;
       return a.id == id_ && (a.kind == Answer::Kind::Stored) == write_ ? 200 : 0;
--- a/src/rig/model_cache.cpp
+++ b/src/rig/model_cache.cpp
@@ -99,9 +99,9 @@
   void take(std::string_view in) {
     while (!in.empty() && server_) {
       Command c;
-      auto got = reader_.take(in, c);
-      if (got == CommandReader::Got::Nothing) return;
-      if (got != CommandReader::Got::Command) {
+      auto got = reader_.parse(in, c);
+      if (got == CommandReader::ParseResult::Incomplete) return;
+      if (got != CommandReader::ParseResult::Command) {
         ++server_->counts_.unreadable;
         return server_->close(*this);
       }
@@ -121,7 +121,7 @@
     r.write = c.set;
     r.key = c.key;
     r.work = c.work;
-    if (c.set && server_->effects_.note(server_->clock_.now(), c.idempotency)) {
+    if (c.set && server_->effects_.note(server_->clock_.now(), c.idempotency_key)) {
       // A repeat of what has run: its receipt, at no cost.
       owe("HD O" + c.id + " c" + kReceipt, {});
       return;
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -63,12 +63,12 @@
     id_ = hex16(id);
     until_ = tills_.clock_.now() + patience;
     const Request& r = job_->request;
-    std::string tail = " O" + id_ + " Pc=" + r.type + ",t=" + r.tenant +
+    std::string tail = " O" + id_ + " Pc=" + r.class_name + ",t=" + r.tenant +
                        ",d=" + std::to_string(std::max<Micros>(1, patience / kMillisecond));
     if (r.work) tail += ",h=" + std::to_string(*r.work);
     if (tills_.ways_.marks_retry && (job_->tries > 1 || job_->unsure)) tail += ",r=1";
     out_ = r.write ? "ms " + r.key + " " + std::to_string(r.value->size()) + tail +
-                         ",k=" + r.idempotency + "\r\n" + *r.value + "\r\n"
+                         ",k=" + r.idempotency_key + "\r\n" + *r.value + "\r\n"
                    : "mg " + r.key + " v" + tail + "\r\n";
     push();
   }
@@ -126,9 +126,9 @@
 
   void take(std::string_view& in) {
     Answer a;
-    auto got = reader_.take(in, a);
-    if (got == AnswerReader::Got::Nothing) return;
-    bool fits = job_ && got == AnswerReader::Got::Answer && !a.last;
+    auto got = reader_.parse(in, a);
+    if (got == AnswerReader::ParseResult::Incomplete) return;
+    bool fits = job_ && got == AnswerReader::ParseResult::Answer && !a.framing_lost;
     if (fits && (a.kind == Answer::Kind::Value || a.kind == Answer::Kind::Stored))
       fits = a.id == id_ && (a.kind == Answer::Kind::Stored) == job_->request.write;
     if (!fits) {
@@ -252,7 +252,7 @@
   job->deadline = type.deadline;
   job->request = std::move(first.request);
   // Its own even where two storms run beside each other.
-  if (job->request.write) job->request.idempotency = hex16(serial_ + ++value_);
+  if (job->request.write) job->request.idempotency_key = hex16(serial_ + ++value_);
   ++job->second->asked;
   ++banners_[static_cast<std::size_t>(job->banner)].asked;
   jobs_.push_back(job);
--- a/src/rig/till.cpp
+++ b/src/rig/till.cpp
@@ -138,9 +138,9 @@
 
   void take_meta(std::string_view& in) {
     Answer a;
-    auto got = reader_.take(in, a);
-    if (got == AnswerReader::Got::Nothing) return;
-    if (got == AnswerReader::Got::Broken || a.last) return note(What::Wrong);
+    auto got = reader_.parse(in, a);
+    if (got == AnswerReader::ParseResult::Incomplete) return;
+    if (got == AnswerReader::ParseResult::Malformed || a.framing_lost) return note(What::Wrong);
     if (a.kind == Answer::Kind::Busy) return note(What::Refused);
     if (a.kind == Answer::Kind::Error || a.kind == Answer::Kind::Miss) return note(What::Failed);
     bool fits = a.id == id_ && (a.kind == Answer::Kind::Stored) == write_request_ &&
@@ -150,9 +150,10 @@
 
   void take_binary(std::string_view& in) {
     binary::Answer a;
-    auto got = binary_reader_.take(in, a);
-    if (got == binary::AnswerReader::Got::Nothing) return;
-    if (got == binary::AnswerReader::Got::Broken || a.opaque != opaque_) return note(What::Wrong);
+    auto got = binary_reader_.parse(in, a);
+    if (got == binary::AnswerReader::ParseResult::Incomplete) return;
+    if (got == binary::AnswerReader::ParseResult::Malformed || a.opaque != opaque_)
+      return note(What::Wrong);
     if (a.status == binary::status::kBusy) return note(What::Refused);
     if (a.status != binary::status::kOk) return note(What::Failed);
     note((write_request_ ? a.cas != 0 : a.key == key_ && value_fits(a.value)) ? What::Served
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -16,7 +16,7 @@
   State state;
   Store::Batch batch;
   std::uint64_t now = 0;
-  bool offered = false, stop = false, ended = false;
+  bool submitted = false, stop = false, ended = false;
 };
 
 Committer::Committer(std::shared_ptr<Journal> journal) : shared_(std::make_shared<Shared>()) {
@@ -25,22 +25,22 @@
   thread_ = std::thread([shared = shared_, journal] {
     std::unique_lock lock(shared->lock);
     while (true) {
-      shared->changed.wait(lock, [&] { return shared->offered || shared->stop; });
-      if (!shared->offered) break;
-      shared->offered = false;
+      shared->changed.wait(lock, [&] { return shared->submitted || shared->stop; });
+      if (!shared->submitted) break;
+      shared->submitted = false;
       Store::Batch batch = std::move(shared->batch);
       std::uint64_t now = shared->now;
       lock.unlock();
-      Fault fault = journal->commit(batch.records, batch.first, batch.last);
-      bool kept = fault == Fault::None;
+      Error fault = journal->commit(batch.records, batch.first, batch.last);
+      bool kept = fault == Error::None;
       // A disk without room for more changes may have it once it holds each key once.
-      bool compacts = (kept && journal->wants_compaction()) || fault == Fault::Full;
-      Fault compacted = compacts ? journal->compact(now) : Fault::None;
+      bool compacts = (kept && journal->wants_compaction()) || fault == Error::DiskFull;
+      Error compacted = compacts ? journal->compact(now) : Error::None;
       lock.lock();
       State& s = shared->state;
       if (kept) s.durable = batch.last, ++s.commits;
       s.failed += !kept;
-      s.compactions += compacts && compacted == Fault::None;
+      s.compactions += compacts && compacted == Error::None;
       s.fault = kept ? compacted : fault;
       s.disk_bytes = journal->bytes();
       s.busy = false;
@@ -65,17 +65,17 @@
   return shared_->state;
 }
 
-bool Committer::settle() const {
+bool Committer::wait_until_idle() const {
   std::unique_lock lock(shared_->lock);
   return shared_->changed.wait_for(lock, kPatience, [&] { return !shared_->state.busy; });
 }
 
-bool Committer::offer(const Store::Batch& batch, std::uint64_t now) {
+bool Committer::submit(const Store::Batch& batch, std::uint64_t now) {
   std::lock_guard lock(shared_->lock);
   if (shared_->state.busy || batch.last == 0) return false;
   shared_->batch = batch;
   shared_->now = now;
-  shared_->offered = shared_->state.busy = true;
+  shared_->submitted = shared_->state.busy = true;
   shared_->changed.notify_all();
   return true;
 }
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -20,17 +20,17 @@
 
   struct State {
     std::uint64_t durable = 0;  ///< everything up to this change
-    Fault fault = Fault::None;  ///< of the last try
+    Error fault = Error::None;  ///< of the last try
     std::uint64_t commits = 0, compactions = 0, failed = 0;
     std::size_t disk_bytes = 0;
     bool busy = false;
   };
   State state() const;
   /// Until no batch is under way, or a disk that hangs has had its time; true: none is.
-  bool settle() const;
+  bool wait_until_idle() const;
   /// Takes the batch where none is under way; false else. After a fault the next one has to begin
   /// with the same changes.
-  bool offer(const Store::Batch& batch, std::uint64_t now);
+  bool submit(const Store::Batch& batch, std::uint64_t now);
 
  private:
   struct Shared;
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -30,7 +30,7 @@
   return crc.checksum();
 }
 
-std::string text_of(const Header& header) {
+std::string encode_header(const Header& header) {
   std::string bytes(kMagic);
   put(bytes, header.version);
   put(bytes, static_cast<std::uint32_t>(header.kind));
@@ -40,12 +40,13 @@
   return bytes;
 }
 
-std::optional<Header> header_of(std::string_view bytes) {
-  if (bytes.size() < kFileHeader || bytes.substr(0, kMagic.size()) != kMagic) return std::nullopt;
+std::optional<Header> decode_header(std::string_view bytes) {
+  if (bytes.size() < kFileHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic)
+    return std::nullopt;
   if (got<std::uint32_t>(bytes, 24) != crc32c(bytes.substr(0, 24))) return std::nullopt;
   Header h;
   h.version = got<std::uint32_t>(bytes, 8);
-  h.kind = static_cast<Kind>(got<std::uint32_t>(bytes, 12));
+  h.kind = static_cast<FileKind>(got<std::uint32_t>(bytes, 12));
   h.base = got<std::uint64_t>(bytes, 16);
   return h;
 }
@@ -56,38 +57,39 @@
   put(bytes, std::uint32_t{0});
   put(bytes, r.sequence);
   put(bytes, static_cast<std::uint8_t>(static_cast<std::uint8_t>(r.type) | (r.ends ? kEnds : 0)));
-  if (r.type == Type::Put || r.type == Type::Doubted)
+  if (r.type == RecordType::Put || r.type == RecordType::Unverified)
     put(bytes, r.expires), put(bytes, static_cast<std::uint16_t>(r.key.size()));
-  if (r.type == Type::End) put(bytes, r.count);
+  if (r.type == RecordType::End) put(bytes, r.count);
   bytes.append(r.key).append(r.value);
   std::string size, crc;
-  put(size, static_cast<std::uint32_t>(bytes.size() - begin - kRecordHeader));
+  put(size, static_cast<std::uint32_t>(bytes.size() - begin - kRecordHeaderBytes));
   bytes.replace(begin + 4, 4, size);
   put(crc, crc32c(std::string_view(bytes).substr(begin + 4)));
   bytes.replace(begin, 4, crc);
 }
 
-void end_commit(std::string& bytes, std::size_t at) {
-  bytes[at + kRecordHeader - 1] = static_cast<char>(bytes[at + kRecordHeader - 1] | kEnds);
+void mark_commit_end(std::string& bytes, std::size_t at) {
+  bytes[at + kRecordHeaderBytes - 1] =
+      static_cast<char>(bytes[at + kRecordHeaderBytes - 1] | kEnds);
   std::string crc;
   put(crc, crc32c(std::string_view(bytes).substr(at + 4)));
   bytes.replace(at, 4, crc);
 }
 
-bool Reader::read_at(std::size_t at, Record& r, std::size_t& size) const {
-  if (bytes_.size() - at < kRecordHeader) return false;
+bool RecordReader::read_at(std::size_t at, Record& r, std::size_t& size) const {
+  if (bytes_.size() - at < kRecordHeaderBytes) return false;
   auto body = got<std::uint32_t>(bytes_, at + 4);
-  if (body > most_ || bytes_.size() - at - kRecordHeader < body) return false;
-  std::string_view whole = bytes_.substr(at, kRecordHeader + body);
+  if (body > most_ || bytes_.size() - at - kRecordHeaderBytes < body) return false;
+  std::string_view whole = bytes_.substr(at, kRecordHeaderBytes + body);
   if (got<std::uint32_t>(whole, 0) != crc32c(whole.substr(4))) return false;
   r = Record();
   r.sequence = got<std::uint64_t>(whole, 8);
   auto type = got<std::uint8_t>(whole, 16);
-  r.type = static_cast<Type>(type & ~kEnds), r.ends = (type & kEnds) != 0;
-  std::string_view rest = whole.substr(kRecordHeader);
+  r.type = static_cast<RecordType>(type & ~kEnds), r.ends = (type & kEnds) != 0;
+  std::string_view rest = whole.substr(kRecordHeaderBytes);
   switch (r.type) {
-    case Type::Put:
-    case Type::Doubted: {
+    case RecordType::Put:
+    case RecordType::Unverified: {
       if (rest.size() < 10) return false;
       r.expires = got<std::uint64_t>(rest, 0);
       std::size_t key = got<std::uint16_t>(rest, 8);
@@ -95,10 +97,10 @@
       r.key = rest.substr(10, key), r.value = rest.substr(10 + key);
       break;
     }
-    case Type::Erase:
+    case RecordType::Erase:
       r.key = rest;
       break;
-    case Type::End:
+    case RecordType::End:
       if (rest.size() != 8) return false;
       r.count = got<std::uint64_t>(rest, 0);
       break;
@@ -109,7 +111,7 @@
   return true;
 }
 
-bool Reader::next(Record& record) {
+bool RecordReader::next(Record& record) {
   skipped_ = false;
   for (; at_ < bytes_.size(); ++at_, skipped_ = true) {
     std::size_t size = 0;
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -4,7 +4,7 @@
 //           these 24 bytes, u32 zero: 32 bytes; then records
 //   record  u32 crc of all that follows, u32 size of the body, u64 sequence, u8 type, body
 //   put     u64 expires (Unix time in microseconds; 0: never), u16 size of the key, key, value
-//   doubted the same as a put: it was kept past damage that may have changed it
+//   unverified the same as a put: it was kept past damage that may have changed it
 //   erase   the key
 //   the type's highest bit is set in the last record of a commit
 //   end     u64 records before it: the last one of a snapshot, which is no snapshot without it
@@ -21,46 +21,46 @@
 namespace wheeldeal::store {
 
 inline constexpr std::uint32_t kVersion = 1;
-inline constexpr std::size_t kFileHeader = 32, kRecordHeader = 17;
-inline constexpr std::size_t kMostKey = 1024;
+inline constexpr std::size_t kFileHeaderBytes = 32, kRecordHeaderBytes = 17;
+inline constexpr std::size_t kMaxKeyBytes = 1024;
 
-enum class Kind : std::uint32_t { Log = 0, Snapshot = 1 };
-enum class Type : std::uint8_t { Put = 1, Erase = 2, End = 3, Doubted = 4 };
+enum class FileKind : std::uint32_t { Log = 0, Snapshot = 1 };
+enum class RecordType : std::uint8_t { Put = 1, Erase = 2, End = 3, Unverified = 4 };
 
 std::uint32_t crc32c(std::string_view bytes);
 
 struct Header {
   std::uint32_t version = kVersion;
-  Kind kind = Kind::Log;
+  FileKind kind = FileKind::Log;
   std::uint64_t base = 0;
 };
-std::string text_of(const Header& header);
+std::string encode_header(const Header& header);
 /// Nothing where it isn't one, or is damaged.
-std::optional<Header> header_of(std::string_view bytes);
+std::optional<Header> decode_header(std::string_view bytes);
 
 /// Views into the bytes it was read from.
 struct Record {
   std::uint64_t sequence = 0;
-  Type type = Type::Put;
+  RecordType type = RecordType::Put;
   bool ends = false;  ///< the last of its commit
   std::uint64_t expires = 0, count = 0;
   std::string_view key = {}, value = {};
 };
 /// Says in the record at `at`, the last of `bytes`, that its commit ends with it.
-void end_commit(std::string& bytes, std::size_t at);
+void mark_commit_end(std::string& bytes, std::size_t at);
 void append(std::string& bytes, const Record& record);
 
 /// Reads a file's records in order; what is damaged is passed over, to the next whole record.
-class Reader {
+class RecordReader {
  public:
   /// `most`: bytes of a body; what claims more is damage.
-  Reader(std::string_view bytes, std::size_t most) : bytes_(bytes), most_(most) {}
+  RecordReader(std::string_view bytes, std::size_t most) : bytes_(bytes), most_(most) {}
   /// The next whole record; false at the end.
   bool next(Record& record);
   /// Whether bytes were passed over before the record that came last.
   bool skipped() const { return skipped_; }
   /// Bytes behind the last whole record, once next() has said false.
-  std::size_t rest() const { return bytes_.size() - whole_; }
+  std::size_t trailing_bytes() const { return bytes_.size() - whole_; }
 
  private:
   bool read_at(std::size_t at, Record& record, std::size_t& size) const;
--- a/src/store/journal.hpp
+++ b/src/store/journal.hpp
@@ -27,7 +27,7 @@
   std::string value;
   std::uint64_t expires = 0;   ///< Unix time in microseconds; 0: never
   std::uint64_t sequence = 0;  ///< of the change
-  bool doubted = false;  ///< something behind it was damaged or lost, which may have changed it
+  bool unverified = false;  ///< something behind it was damaged or lost, which may have changed it
 };
 using Entries = std::map<std::string, Entry, std::less<>>;
 
@@ -36,37 +36,37 @@
   Journal(std::shared_ptr<FileSystem> files, const Limits& limits)
       : files_(std::move(files)), limits_(limits) {}
 
-  struct Opened {
+  struct Contents {
     Entries entries;
-    std::uint64_t last = 0;   ///< sequence of the last change
-    std::size_t damaged = 0;  ///< places in files at which something can't be read
-    std::size_t cut = 0;      ///< bytes behind the last whole record of the last segment
+    std::uint64_t last = 0;          ///< sequence of the last change
+    std::size_t damaged_places = 0;  ///< places in files at which something can't be read
+    std::size_t trailing_bytes = 0;  ///< bytes behind the last whole record of the last segment
     std::size_t files = 0, bytes = 0;
   };
   /// Locks the folder and reads what is there. Changes nothing on disk but leftovers of a
   /// compaction that was cut off.
-  [[nodiscard]] Fault open(Opened& opened);
+  [[nodiscard]] Error open(Contents& opened);
   /// The same without a lock and without any change, for those who only look.
-  [[nodiscard]] Fault look(Opened& opened) { return replay(opened, ~std::uint64_t{0}); }
+  [[nodiscard]] Error inspect(Contents& opened) { return replay(opened, ~std::uint64_t{0}); }
 
   /// Changes of the sequences `first` to `last`, as format.hpp has them. None: they are durable.
   /// After a fault call again with the same ones, and more where there are.
-  [[nodiscard]] Fault commit(std::string_view records, std::uint64_t first, std::uint64_t last);
+  [[nodiscard]] Error commit(std::string_view records, std::uint64_t first, std::uint64_t last);
   /// Whether compact() would pay: twice what it would leave, and a segment at least.
   bool wants_compaction() const {
     return bytes_ > std::max(2 * live_bytes_, limits_.segment_bytes);
   }
   /// Puts a snapshot in the place of all that is durable. `now` drops what has expired. A fault
   /// leaves everything as it was.
-  [[nodiscard]] Fault compact(std::uint64_t now);
+  [[nodiscard]] Error compact(std::uint64_t now);
 
   std::size_t bytes() const { return bytes_; }  ///< on disk, as far as known
   /// Sequence of the last change that survives anything that happens from here on.
-  std::uint64_t durable() const { return unproven_ ? 0 : durable_; }
+  std::uint64_t durable() const { return needs_snapshot_ ? 0 : durable_; }
 
  private:
-  Fault replay(Opened& opened, std::uint64_t up_to);
-  Fault begin_segment(std::uint64_t first);
+  Error replay(Contents& opened, std::uint64_t up_to);
+  Error start_segment(std::uint64_t first);
 
   std::shared_ptr<FileSystem> files_;
   Limits limits_;
@@ -74,7 +74,7 @@
   std::size_t segment_bytes_ = 0;
   std::size_t bytes_ = 0, live_bytes_ = 0;
   std::uint64_t durable_ = 0;
-  bool unproven_ = false;  // what was found at the start has not been synced by this process
+  bool needs_snapshot_ = false;  // what was found at the start has not been synced by this process
 };
 
 }  // namespace wheeldeal::store
--- a/src/store/real_folder.cpp
+++ b/src/store/real_file_system.cpp
@@ -17,83 +17,83 @@
 
 constexpr const char* kLock = "LOCK";
 
-Fault fault_of(int error) {
+Error fault_of(int error) {
   switch (error) {
     case ENOSPC:
     case EDQUOT:
     case EFBIG:
-      return Fault::Full;
+      return Error::DiskFull;
     case EACCES:
     case EPERM:
     case EROFS:
-      return Fault::Rights;
+      return Error::PermissionDenied;
     case ENOENT:
     case ENOTDIR:
-      return Fault::Missing;
+      return Error::NotFound;
     default:
-      return Fault::Io;
+      return Error::Io;
   }
 }
 
-Fault sync_of(int fd, bool data_only) {
+Error sync_of(int fd, bool data_only) {
   while ((data_only ? ::fdatasync(fd) : ::fsync(fd)) != 0)
     if (errno != EINTR) return fault_of(errno);
-  return Fault::None;
+  return Error::None;
 }
 
 class RealFile final : public File {
  public:
   explicit RealFile(Fd fd) : fd_(std::move(fd)) {}
-  Fault append(std::string_view bytes) override {
+  Error append(std::string_view bytes) override {
     while (!bytes.empty()) {
       ssize_t put = ::write(fd_.get(), bytes.data(), bytes.size());
       if (put < 0 && errno == EINTR) continue;
       if (put < 0) return fault_of(errno);
       bytes.remove_prefix(static_cast<std::size_t>(put));
     }
-    return Fault::None;
+    return Error::None;
   }
-  Fault sync() override { return sync_of(fd_.get(), true); }
+  Error sync() override { return sync_of(fd_.get(), true); }
 
  private:
   Fd fd_;
 };
 
-class RealFolder final : public FileSystem {
+class RealFileSystem final : public FileSystem {
  public:
-  explicit RealFolder(std::string path) : path_(std::move(path)) {}
+  explicit RealFileSystem(std::string path) : path_(std::move(path)) {}
 
-  Fault lock() override {
+  Error lock() override {
     std::error_code error;
     std::filesystem::create_directories(path_, error);
     lock_ = Fd(::open(at(kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     if (!lock_) return fault_of(errno);
-    if (::flock(lock_.get(), LOCK_EX | LOCK_NB) == 0) return Fault::None;
-    return errno == EWOULDBLOCK ? Fault::Locked : fault_of(errno);
+    if (::flock(lock_.get(), LOCK_EX | LOCK_NB) == 0) return Error::None;
+    return errno == EWOULDBLOCK ? Error::Locked : fault_of(errno);
   }
 
-  Fault list(std::vector<std::string>& names) override {
+  Error list(std::vector<std::string>& names) override {
     names.clear();
     std::unique_ptr<DIR, int (*)(DIR*)> folder(::opendir(path_.c_str()), ::closedir);
     if (!folder) return fault_of(errno);
     while (true) {
       errno = 0;
       dirent* entry = ::readdir(folder.get());
-      if (!entry) return errno == 0 ? Fault::None : fault_of(errno);
+      if (!entry) return errno == 0 ? Error::None : fault_of(errno);
       std::string name = entry->d_name;
       if (name != "." && name != ".." && name != kLock) names.push_back(std::move(name));
     }
   }
 
-  Fault read(const std::string& name, std::size_t most, std::string& bytes) override {
+  Error read(const std::string& name, std::size_t most, std::string& bytes) override {
     bytes.clear();
     Fd fd(::open(at(name).c_str(), O_RDONLY | O_CLOEXEC));
     if (!fd) return fault_of(errno);
     struct stat info {};
     if (::fstat(fd.get(), &info) != 0) return fault_of(errno);
-    if (!S_ISREG(info.st_mode)) return Fault::Io;
+    if (!S_ISREG(info.st_mode)) return Error::Io;
     auto size = static_cast<std::size_t>(info.st_size);
-    if (size > most) return Fault::TooLarge;
+    if (size > most) return Error::TooLarge;
     bytes.resize(size);
     std::size_t got = 0;
     while (got < size) {
@@ -104,25 +104,25 @@
       got += static_cast<std::size_t>(more);
     }
     bytes.resize(got);
-    return Fault::None;
+    return Error::None;
   }
 
-  Fault create(const std::string& name, std::unique_ptr<File>& file) override {
+  Error create(const std::string& name, std::unique_ptr<File>& file) override {
     Fd fd(::open(at(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     if (!fd) return fault_of(errno);
     file = std::make_unique<RealFile>(std::move(fd));
-    return Fault::None;
+    return Error::None;
   }
 
-  Fault rename(const std::string& from, const std::string& to) override {
-    return ::rename(at(from).c_str(), at(to).c_str()) == 0 ? Fault::None : fault_of(errno);
+  Error rename(const std::string& from, const std::string& to) override {
+    return ::rename(at(from).c_str(), at(to).c_str()) == 0 ? Error::None : fault_of(errno);
   }
 
-  Fault remove(const std::string& name) override {
-    return ::unlink(at(name).c_str()) == 0 ? Fault::None : fault_of(errno);
+  Error remove(const std::string& name) override {
+    return ::unlink(at(name).c_str()) == 0 ? Error::None : fault_of(errno);
   }
 
-  Fault sync_names() override {
+  Error sync_directory() override {
     Fd fd(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     return fd ? sync_of(fd.get(), false) : fault_of(errno);
   }
@@ -135,32 +135,32 @@
 
 }  // namespace
 
-const char* name_of(Fault fault) {
+const char* name_of(Error fault) {
   switch (fault) {
-    case Fault::None:
+    case Error::None:
       return "well";
-    case Fault::Full:
+    case Error::DiskFull:
       return "no room on the disk";
-    case Fault::Io:
+    case Error::Io:
       return "input or output error";
-    case Fault::Rights:
+    case Error::PermissionDenied:
       return "not allowed";
-    case Fault::Missing:
+    case Error::NotFound:
       return "no such file";
-    case Fault::Locked:
+    case Error::Locked:
       return "another process has it";
-    case Fault::Newer:
+    case Error::NewerVersion:
       return "written by a later version";
-    case Fault::TooLarge:
+    case Error::TooLarge:
       return "too large";
-    case Fault::Busy:
+    case Error::Backlogged:
       return "the disk is behind";
   }
   return "";
 }
 
-std::unique_ptr<FileSystem> real_folder(const std::string& path) {
-  return std::make_unique<RealFolder>(path);
+std::unique_ptr<FileSystem> real_file_system(const std::string& path) {
+  return std::make_unique<RealFileSystem>(path);
 }
 
 }  // namespace wheeldeal::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -11,53 +11,53 @@
   return static_cast<std::size_t>(XXH3_64bits(key.data(), key.size()));
 }
 
-void Store::load(Journal::Opened&& opened) {
+void Store::load(Journal::Contents&& opened) {
   last_ = durable_ = opened.last;
   std::vector<std::pair<const std::string*, Entry*>> all;
   for (auto& [key, entry] : opened.entries) all.emplace_back(&key, &entry);
   std::sort(all.begin(), all.end(),
             [](const auto& a, const auto& b) { return a.second->sequence > b.second->sequence; });
   for (auto& [key, entry] : all) {
-    if (memory_ + weight(*key, entry->value) > limits_.memory_bytes) return;
-    memory_ += weight(*key, entry->value);
+    if (memory_ + entry_bytes(*key, entry->value) > limits_.memory_bytes) return;
+    memory_ += entry_bytes(*key, entry->value);
     entries_.emplace(*key, std::move(*entry));
   }
 }
 
-Fault Store::change(const Record& record, Token& token) {
-  if (waiting_.size() + record.key.size() + record.value.size() + kRecordHeader + 10 >
+Error Store::change(const Record& record, Sequence& token) {
+  if (waiting_.size() + record.key.size() + record.value.size() + kRecordHeaderBytes + 10 >
       limits_.waiting_bytes)
-    return Fault::Busy;
+    return Error::Backlogged;
   Record numbered = record;
   token = numbered.sequence = ++last_;
   append(waiting_, numbered);
   ends_.emplace_back(token, waiting_.size());
-  return Fault::None;
+  return Error::None;
 }
 
-Fault Store::put(std::string_view key, std::string_view value, std::uint64_t expires,
-                 Token& token) {
+Error Store::put(std::string_view key, std::string_view value, std::uint64_t expires,
+                 Sequence& token) {
   token = 0;
-  if (key.size() > kMostKey || value.size() > limits_.record_bytes) return Fault::TooLarge;
+  if (key.size() > kMaxKeyBytes || value.size() > limits_.record_bytes) return Error::TooLarge;
   auto at = entries_.find(key);
-  std::size_t had = at == entries_.end() ? 0 : weight(key, at->second.value);
-  if (memory_ - had + weight(key, value) > limits_.memory_bytes) return Fault::Full;
-  Record r{.type = Type::Put, .expires = expires, .key = key, .value = value};
-  if (Fault f = change(r, token); f != Fault::None) return f;
-  memory_ = memory_ - had + weight(key, value);
+  std::size_t had = at == entries_.end() ? 0 : entry_bytes(key, at->second.value);
+  if (memory_ - had + entry_bytes(key, value) > limits_.memory_bytes) return Error::DiskFull;
+  Record r{.type = RecordType::Put, .expires = expires, .key = key, .value = value};
+  if (Error f = change(r, token); f != Error::None) return f;
+  memory_ = memory_ - had + entry_bytes(key, value);
   if (at == entries_.end()) at = entries_.emplace(key, Entry()).first;
   at->second = {std::string(value), expires, token, false};
-  return Fault::None;
+  return Error::None;
 }
 
-Fault Store::erase(std::string_view key, Token& token) {
+Error Store::erase(std::string_view key, Sequence& token) {
   token = 0;
   auto at = entries_.find(key);
-  if (at == entries_.end()) return Fault::None;
-  if (Fault f = change({.type = Type::Erase, .key = key}, token); f != Fault::None) return f;
-  memory_ -= weight(key, at->second.value);
+  if (at == entries_.end()) return Error::None;
+  if (Error f = change({.type = RecordType::Erase, .key = key}, token); f != Error::None) return f;
+  memory_ -= entry_bytes(key, at->second.value);
   entries_.erase(at);
-  return Fault::None;
+  return Error::None;
 }
 
 const Entry* Store::get(std::string_view key, std::uint64_t now) const {
@@ -78,7 +78,7 @@
 Store::Batch Store::batch() const {
   if (waiting_.empty()) return {};
   Batch b{waiting_, durable_ + 1, last_};
-  end_commit(b.records, ends_.size() > 1 ? ends_[ends_.size() - 2].second : 0);
+  mark_commit_end(b.records, ends_.size() > 1 ? ends_[ends_.size() - 2].second : 0);
   return b;
 }
 
@@ -87,12 +87,12 @@
     const Entry& e = it->second;
     // A change that waits is numbered already: it is written, and dropped by the next reader.
     bool over = e.expires != 0 && e.expires <= now;
-    if (over) memory_ -= weight(it->first, e.value);
+    if (over) memory_ -= entry_bytes(it->first, e.value);
     it = over ? entries_.erase(it) : std::next(it);
   }
 }
 
-void Store::written(Token last) {
+void Store::mark_durable(Sequence last) {
   durable_ = std::max(durable_, last);
   auto end = std::find_if(ends_.begin(), ends_.end(),
                           [&](const auto& one) { return one.first > durable_; });
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -23,14 +23,14 @@
  public:
   explicit Store(const Limits& limits) : limits_(limits) {}
   /// What was found at the start. Entries beyond the memory's bound are left out, the oldest first.
-  void load(Journal::Opened&& opened);
+  void load(Journal::Contents&& opened);
 
   /// Number of a change; 0: there was nothing to change. It is durable once durable() says so.
-  using Token = std::uint64_t;
+  using Sequence = std::uint64_t;
   /// `expires`: Unix time in microseconds; 0: never. A fault changes nothing.
-  [[nodiscard]] Fault put(std::string_view key, std::string_view value, std::uint64_t expires,
-                          Token& token);
-  [[nodiscard]] Fault erase(std::string_view key, Token& token);
+  [[nodiscard]] Error put(std::string_view key, std::string_view value, std::uint64_t expires,
+                          Sequence& token);
+  [[nodiscard]] Error erase(std::string_view key, Sequence& token);
   /// nullptr: there is none, or its time is over at `now`.
   const Entry* get(std::string_view key, std::uint64_t now) const;
   /// Every entry whose key begins with `prefix`, in no order. `each` must not change the store.
@@ -39,34 +39,36 @@
   /// Frees what has expired. The disk forgets it with the next compaction.
   void expire(std::uint64_t now);
 
-  /// Changes that wait for the disk, as the journal wants them. They stay here until written().
+  /// Changes that wait for the disk, as the journal wants them. They stay here until
+  /// mark_durable().
   struct Batch {
     std::string records;
-    Token first = 0, last = 0;  ///< 0: none
+    Sequence first = 0, last = 0;  ///< 0: none
   };
   Batch batch() const;
   /// Everything up to that change is durable.
-  void written(Token last);
-  Token durable() const { return durable_; }
-  bool is_durable(Token token) const { return token <= durable_; }
+  void mark_durable(Sequence last);
+  Sequence durable() const { return durable_; }
+  bool is_durable(Sequence token) const { return token <= durable_; }
 
   std::size_t size() const { return entries_.size(); }
-  std::size_t memory() const { return memory_; }           ///< bytes of keys and values
-  std::size_t waiting() const { return waiting_.size(); }  ///< bytes
+  std::size_t memory_bytes() const { return memory_; }           ///< bytes of keys and values
+  std::size_t waiting_bytes() const { return waiting_.size(); }  ///< bytes
 
  private:
-  Fault change(const Record& record, Token& token);
-  static std::size_t weight(std::string_view key, std::string_view value) {
-    return key.size() + value.size() + kEach;
+  Error change(const Record& record, Sequence& token);
+  static std::size_t entry_bytes(std::string_view key, std::string_view value) {
+    return key.size() + value.size() + kEntryOverheadBytes;
   }
-  static constexpr std::size_t kEach = 128;  // bytes of an entry beside its key and value, about
+  static constexpr std::size_t kEntryOverheadBytes =
+      128;  // bytes of an entry beside its key and value, about
 
   Limits limits_;
   std::unordered_map<std::string, Entry, KeyHash, std::equal_to<>> entries_;
   std::size_t memory_ = 0;
   std::string waiting_;
-  std::vector<std::pair<Token, std::size_t>> ends_;  // of each change that waits, in `waiting_`
-  Token last_ = 0, durable_ = 0;
+  std::vector<std::pair<Sequence, std::size_t>> ends_;  // of each change that waits, in `waiting_`
+  Sequence last_ = 0, durable_ = 0;
 };
 
 }  // namespace wheeldeal::store
--- a/src/store/virtual_disk.cpp
+++ b/src/store/virtual_disk.cpp
@@ -8,21 +8,21 @@
  public:
   Handle(std::shared_ptr<VirtualDisk> disk, std::shared_ptr<Content> content)
       : disk_(std::move(disk)), content_(std::move(content)) {}
-  Fault append(std::string_view bytes) override {
-    Fault f = disk_->step(Op::Append);
-    std::size_t room = disk_->room_ - std::min(disk_->room_, disk_->used());
-    if (f == Fault::None && bytes.size() > room) {
+  Error append(std::string_view bytes) override {
+    Error f = disk_->step(Op::Append);
+    std::size_t room = disk_->capacity_ - std::min(disk_->capacity_, disk_->used());
+    if (f == Error::None && bytes.size() > room) {
       content_->bytes.append(bytes.substr(0, room));
-      return Fault::Full;
+      return Error::DiskFull;
     }
     // A write that fails, or in which the power goes, is there in part.
-    content_->bytes.append(f == Fault::None ? bytes : bytes.substr(0, bytes.size() / 2));
+    content_->bytes.append(f == Error::None ? bytes : bytes.substr(0, bytes.size() / 2));
     return f;
   }
-  Fault sync() override {
-    Fault f = disk_->step(Op::Sync);
-    if (disk_->dead_) return f;
-    if (f != Fault::None) content_->poisoned = true;
+  Error sync() override {
+    Error f = disk_->step(Op::Sync);
+    if (disk_->power_lost_) return f;
+    if (f != Error::None) content_->poisoned = true;
     if (!content_->poisoned) content_->synced = content_->bytes.size();
     return f;
   }
@@ -32,19 +32,19 @@
   std::shared_ptr<Content> content_;
 };
 
-Fault VirtualDisk::step(Op kind) {
-  if (dead_ || done_ == dies_at_) {
-    dead_ = true;
-    return Fault::Io;
+Error VirtualDisk::step(Op kind) {
+  if (power_lost_ || done_ == power_lost_at_) {
+    power_lost_ = true;
+    return Error::Io;
   }
   ++done_;
   auto at = failing_.find(kind);
-  if (at == failing_.end() || done_ <= at->second.from || at->second.times == 0) return Fault::None;
+  if (at == failing_.end() || done_ <= at->second.from || at->second.times == 0) return Error::None;
   --at->second.times;
   return at->second.with;
 }
 
-void VirtualDisk::fail(Op kind, int after, int times, Fault with) {
+void VirtualDisk::fail_operations(Op kind, int after, int times, Error with) {
   failing_[kind] = {done_ + after, times, with};
 }
 
@@ -54,48 +54,48 @@
   return sum;
 }
 
-Fault VirtualDisk::list(std::vector<std::string>& names) {
+Error VirtualDisk::list(std::vector<std::string>& names) {
   names.clear();
   for (const auto& [name, content] : names_) names.push_back(name);
   return step(Op::List);
 }
 
-Fault VirtualDisk::read(const std::string& name, std::size_t most, std::string& bytes) {
-  if (Fault f = step(Op::Read); f != Fault::None) return f;
+Error VirtualDisk::read(const std::string& name, std::size_t most, std::string& bytes) {
+  if (Error f = step(Op::Read); f != Error::None) return f;
   auto at = names_.find(name);
-  if (at == names_.end()) return Fault::Missing;
-  if (at->second->bytes.size() > most) return Fault::TooLarge;
+  if (at == names_.end()) return Error::NotFound;
+  if (at->second->bytes.size() > most) return Error::TooLarge;
   bytes = at->second->bytes;
-  return Fault::None;
+  return Error::None;
 }
 
-Fault VirtualDisk::create(const std::string& name, std::unique_ptr<File>& file) {
-  if (Fault f = step(Op::Create); f != Fault::None) return f;
+Error VirtualDisk::create(const std::string& name, std::unique_ptr<File>& file) {
+  if (Error f = step(Op::Create); f != Error::None) return f;
   auto content = std::make_shared<Content>();
   names_[name] = content;
   file = std::make_unique<Handle>(shared_from_this(), content);
-  return Fault::None;
+  return Error::None;
 }
 
-Fault VirtualDisk::rename(const std::string& from, const std::string& to) {
-  if (Fault f = step(Op::Rename); f != Fault::None) return f;
+Error VirtualDisk::rename(const std::string& from, const std::string& to) {
+  if (Error f = step(Op::Rename); f != Error::None) return f;
   auto at = names_.find(from);
-  if (at == names_.end()) return Fault::Missing;
+  if (at == names_.end()) return Error::NotFound;
   auto content = at->second;
   names_.erase(at);
   names_[to] = content;
-  return Fault::None;
+  return Error::None;
 }
 
-Fault VirtualDisk::remove(const std::string& name) {
-  if (Fault f = step(Op::Remove); f != Fault::None) return f;
-  return names_.erase(name) > 0 ? Fault::None : Fault::Missing;
+Error VirtualDisk::remove(const std::string& name) {
+  if (Error f = step(Op::Remove); f != Error::None) return f;
+  return names_.erase(name) > 0 ? Error::None : Error::NotFound;
 }
 
-Fault VirtualDisk::sync_names() {
-  if (Fault f = step(Op::SyncNames); f != Fault::None) return f;
+Error VirtualDisk::sync_directory() {
+  if (Error f = step(Op::SyncDirectory); f != Error::None) return f;
   synced_names_ = names_;
-  return Fault::None;
+  return Error::None;
 }
 
 std::shared_ptr<VirtualDisk> VirtualDisk::after_power_loss(std::uint64_t seed) const {
@@ -130,7 +130,7 @@
   return next;
 }
 
-std::shared_ptr<VirtualDisk> VirtualDisk::copy() const {
+std::shared_ptr<VirtualDisk> VirtualDisk::after_process_kill() const {
   auto next = std::make_shared<VirtualDisk>();
   for (const auto& [name, content] : names_) {
     auto one = std::make_shared<Content>(*content);
--- a/tests/binary/codec_test.cpp
+++ b/tests/binary/codec_test.cpp
@@ -20,17 +20,17 @@
     std::string_view in = part;
     while (true) {
       Command c;
-      auto got = reader.take(in, c);
-      if (got == CommandReader::Got::Nothing) break;
+      auto got = reader.parse(in, c);
+      if (got == CommandReader::ParseResult::Incomplete) break;
       std::string head =
           std::to_string(static_cast<int>(c.opcode)) + '/' + std::to_string(c.opaque);
-      if (got == CommandReader::Got::Command) {
+      if (got == CommandReader::ParseResult::Command) {
         seen.push_back(head + ' ' + c.key + ' ' + c.value + ' ' + std::to_string(c.flags) + ' ' +
                        std::to_string(c.expiry) + ' ' + std::to_string(c.cas));
         continue;
       }
-      seen.push_back(head + " status " + std::to_string(reader.refused()));
-      if (got == CommandReader::Got::Broken) {
+      seen.push_back(head + " status " + std::to_string(reader.rejection_status()));
+      if (got == CommandReader::ParseResult::FramingLost) {
         seen.push_back("broken");
         return seen;
       }
@@ -156,9 +156,9 @@
     std::string_view in = part;
     while (true) {
       Answer a;
-      auto got = reader.take(in, a);
-      if (got == AnswerReader::Got::Nothing) break;
-      if (got == AnswerReader::Got::Broken) {
+      auto got = reader.parse(in, a);
+      if (got == AnswerReader::ParseResult::Incomplete) break;
+      if (got == AnswerReader::ParseResult::Malformed) {
         seen.push_back("broken");
         return seen;
       }
--- a/tests/binary/scripted_peers.hpp
+++ b/tests/binary/scripted_peers.hpp
@@ -41,14 +41,14 @@
   binary::CommandReader reader;
   binary::Command command;
   std::string_view in = packet;
-  EXPECT_EQ(reader.take(in, command), binary::CommandReader::Got::Command);
+  EXPECT_EQ(reader.parse(in, command), binary::CommandReader::ParseResult::Command);
   return command;
 }
 inline binary::Answer answer_of(const std::string& packet) {
   binary::AnswerReader reader;
   binary::Answer answer;
   std::string_view in = packet;
-  EXPECT_EQ(reader.take(in, answer), binary::AnswerReader::Got::Answer);
+  EXPECT_EQ(reader.parse(in, answer), binary::AnswerReader::ParseResult::Answer);
   return answer;
 }
 inline binary::Answer read_answer(TestConnection& link) { return answer_of(read_packet(link)); }
@@ -101,12 +101,12 @@
     CommandReader reader(true);
     Command c;
     std::string_view in = text;
-    EXPECT_EQ(reader.take(in, c), CommandReader::Got::Command) << text;
+    EXPECT_EQ(reader.parse(in, c), CommandReader::ParseResult::Command) << text;
     a.write = c.set;
     a.key = c.key;
     a.id = c.id;
     a.flags = c.flags;
-    a.idempotency = c.idempotency;
+    a.idempotency = c.idempotency_key;
     if (c.value) a.value = *c.value;
     return a;
   }
@@ -185,7 +185,7 @@
       if (text.starts_with("VA ")) text += link.bytes(std::strtoul(&text[3], nullptr, 10) + 2);
       std::string_view in = text;
       Answer a;
-      if (reader.take(in, a) != AnswerReader::Got::Answer) return {"unreadable", text};
+      if (reader.parse(in, a) != AnswerReader::ParseResult::Answer) return {"unreadable", text};
       if (a.kind == Answer::Kind::Value) return {"value", a.value, a.flags.value_or(0)};
       if (a.kind == Answer::Kind::Stored) return {"receipt", a.receipt};
       if (a.kind != Answer::Kind::Busy) return {"failed", ""};
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -14,7 +14,7 @@
 using robinseam::test::basic_settings;
 using robinseam::test::fleet;
 
-class CoreTest : public testing::Test, public TimeSource, public Carrier, public Lister {
+class CoreTest : public testing::Test, public TimeSource, public AttemptSender, public ListSource {
  protected:
   struct Sink final : ReplySink {
     void on_reply(const Request&, Reply&& reply) override {
@@ -34,7 +34,7 @@
   void use(const robinseam::Settings& settings, std::size_t max_open = 100) {
     core_ = std::make_unique<Core>(settings, 7, *this, *this, max_open, 8192);
     core_->start(fleet(4));
-    core_->turn();
+    core_->process_events();
   }
   static robinseam::Settings with_put(robinseam::Effect effect) {
     robinseam::Settings s = basic_settings();
@@ -48,30 +48,30 @@
     Request r;
     r.key = "key";
     r.id = id;
-    r.type = "read";
-    r.patience = 500 * kMillisecond;
+    r.class_name = "read";
+    r.time_left = 500 * kMillisecond;
     return r;
   }
   Request put(const std::string& idempotency) {
     Request r = read();
-    r.type = "put";
+    r.class_name = "put";
     r.write = true;
-    r.idempotency = idempotency;
+    r.idempotency_key = idempotency;
     r.value = std::make_shared<const std::string>("v");
     return r;
   }
   RequestId take(Request&& request, Sink& sink) {
     RequestId id = 0;
-    EXPECT_EQ(core_->take(std::move(request), sink, *this, id), Core::Taken::Yes);
-    core_->turn();
+    EXPECT_EQ(core_->submit(std::move(request), sink, *this, id), Core::SubmitResult::Accepted);
+    core_->process_events();
     return id;
   }
   void end(std::size_t sent, Status status, AttemptResult result = {}) {
-    core_->attempt_ended(sent_[sent].id, sent_[sent].attempt, status, std::move(result));
-    core_->turn();
+    core_->on_attempt_ended(sent_[sent].id, sent_[sent].attempt, status, std::move(result));
+    core_->process_events();
   }
 
-  // TimeSource, Carrier, Lister
+  // TimeSource, AttemptSender, ListSource
   Micros now() const override { return now_; }
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override {
@@ -83,11 +83,13 @@
     ++cancelled_;
     return Status::Cancelled;
   }
-  std::optional<Status> end(const std::string&, RequestId, int) override { return ends_; }
-  bool take_back(const std::string&, RequestId, int) override { return unwritten_; }
-  bool keeps_key(const Request&) const override { return keeps_key_; }
-  void watch() override {}
-  void fetch() override {}
+  std::optional<Status> stop_for_retry(const std::string&, RequestId, int) override {
+    return ends_;
+  }
+  bool withdraw(const std::string&, RequestId, int) override { return unwritten_; }
+  bool supports_idempotency_key(const Request&) const override { return keeps_key_; }
+  void watch_list() override {}
+  void fetch_list() override {}
 
   Micros now_ = 1'000 * kSecond;
   bool keeps_key_ = true;
@@ -113,7 +115,7 @@
   EXPECT_EQ(sink.last.flags, 5u);
   EXPECT_EQ(core_->open_requests(), 0u);
   end(0, Status::Ok, result);  // again, and for an attempt that never was
-  core_->attempt_ended(sent_[0].id, 9, Status::Ok, {});
+  core_->on_attempt_ended(sent_[0].id, 9, Status::Ok, {});
   EXPECT_EQ(sink.replies, 1);
 }
 
@@ -132,8 +134,8 @@
 TEST_F(CoreTest, AnAttemptNumberThatNeverWasIsIgnored) {
   Sink sink;
   RequestId id = take(read(), sink);
-  core_->attempt_ended(id, 3, Status::Ok, {});
-  core_->attempt_ended(id, -1, Status::Ok, {});
+  core_->on_attempt_ended(id, 3, Status::Ok, {});
+  core_->on_attempt_ended(id, -1, Status::Ok, {});
   EXPECT_EQ(sink.replies, 0);
 }
 
@@ -150,12 +152,12 @@
 TEST_F(CoreTest, TheDeadlineIsTheClassesAtMostAndGivesAnAnswer) {
   Sink sink;
   Request r = read();
-  r.patience = 3600 * kSecond;
+  r.time_left = 3600 * kSecond;
   take(std::move(r), sink);
   // Each timer in its turn, until the deadline of 600 ms and the guard behind it.
   while (core_->next_timer() && core_->next_timer() <= 1'000 * kSecond + 615 * kMillisecond) {
     now_ = core_->next_timer();
-    core_->turn();
+    core_->process_events();
   }
   EXPECT_EQ(sink.replies, 1);
   EXPECT_NE(sink.last.kind, Reply::Kind::Served);
@@ -168,12 +170,12 @@
   Sink sink;
   RequestId id = 0;
   Request unknown = read();
-  unknown.type = "other";
-  EXPECT_EQ(core_->take(std::move(unknown), sink, *this, id), Core::Taken::BadClass);
+  unknown.class_name = "other";
+  EXPECT_EQ(core_->submit(std::move(unknown), sink, *this, id), Core::SubmitResult::InvalidClass);
   EXPECT_EQ(unknown.key, "key");
   take(read("a"), sink);
-  EXPECT_EQ(core_->take(read("a"), sink, *this, id), Core::Taken::IdInUse);
-  EXPECT_EQ(core_->take(read("b"), sink, *this, id), Core::Taken::Busy);
+  EXPECT_EQ(core_->submit(read("a"), sink, *this, id), Core::SubmitResult::IdInUse);
+  EXPECT_EQ(core_->submit(read("b"), sink, *this, id), Core::SubmitResult::TableFull);
   EXPECT_EQ(sink.replies, 0);
 }
 
@@ -190,8 +192,8 @@
 TEST_F(CoreTest, NobodyIsToldOnceTheClientIsGone) {
   Sink sink;
   RequestId id = take(read(), sink);
-  core_->gone(id);
-  core_->turn();
+  core_->on_client_gone(id);
+  core_->process_events();
   EXPECT_EQ(cancelled_, 1);
   EXPECT_EQ(sink.replies, 0);
   EXPECT_EQ(core_->open_requests(), 0u);
@@ -206,8 +208,8 @@
     unwritten_ = unwritten;
     Sink sink;
     RequestId id = take(read(), sink);
-    core_->gone(id);
-    core_->turn();
+    core_->on_client_gone(id);
+    core_->process_events();
     EXPECT_EQ(core_->open_requests(), unwritten ? 0u : 1u);
     EXPECT_EQ(cancelled_, 0);
   }
@@ -228,11 +230,11 @@
     unwritten_ = c.unwritten;
     Sink sink;
     RequestId id = take(c.idempotency ? put(c.idempotency) : read(), sink);
-    core_->left(id);
-    core_->turn();
+    core_->on_client_half_closed(id);
+    core_->process_events();
     EXPECT_EQ(sink.replies, 0);
     now_ += 50 * kMillisecond;
-    core_->turn();
+    core_->process_events();
     EXPECT_EQ(sink.replies, c.replies);
     EXPECT_EQ(core_->open_requests(), c.replies ? 0u : 1u);
     if (c.replies) {
@@ -249,14 +251,14 @@
   Sink sink;
   ends_ = std::nullopt;
   Request r = read();
-  r.patience = 600 * kMillisecond;
+  r.time_left = 600 * kMillisecond;
   take(std::move(r), sink);
   Micros begun = now_;
-  for (; now_ < begun + 400 * kMillisecond; now_ += kMillisecond) core_->turn();
+  for (; now_ < begun + 400 * kMillisecond; now_ += kMillisecond) core_->process_events();
   EXPECT_EQ(sent_.size(), 1u);
   ends_ = Status::Cancelled;
   now_ += 20 * kMillisecond;
-  core_->turn();
+  core_->process_events();
   EXPECT_EQ(sent_.size(), 2u);
   EXPECT_EQ(sent_.back().attempt, 1);
 }
@@ -264,8 +266,8 @@
 TEST_F(CoreTest, AClientThatHasLeftGetsWhatWasOutAndNothingNewIsSent) {
   Sink sink;
   RequestId id = take(read(), sink);
-  core_->left(id);
-  core_->turn();
+  core_->on_client_half_closed(id);
+  core_->process_events();
   EXPECT_EQ(cancelled_, 0);
   end(0, Status::Reset);
   EXPECT_EQ(sent_.size(), 1u);
@@ -303,13 +305,13 @@
   take(read(), sink);
   for (std::size_t k = 0; k < sent_.size(); ++k) end(k, Status::Miss);
   EXPECT_EQ(sink.replies, 1);
-  EXPECT_FALSE(sink.last.missed);
+  EXPECT_FALSE(sink.last.cache_miss);
   robinseam::Settings aside = robinseam::test::aside_settings();
   core_ = std::make_unique<Core>(aside, 7, *this, *this, 10, 8192);
   auto servers = fleet(3);
   servers[2].kind = "ledger";
   core_->start(servers);
-  core_->turn();
+  core_->process_events();
   sent_.clear();
   Sink other;
   take(read(), other);
@@ -317,7 +319,7 @@
   EXPECT_EQ(sent_.size(), 2u);
   EXPECT_EQ(sent_.back().server, servers[2].id);
   EXPECT_EQ(other.replies, 1);
-  EXPECT_TRUE(other.last.missed);
+  EXPECT_TRUE(other.last.cache_miss);
 }
 
 }  // namespace
--- a/tests/drill_lines.hpp
+++ b/tests/drill_lines.hpp
@@ -8,7 +8,7 @@
 
 namespace arrowfork::test {
 
-struct DrillLines final : SeamTap {
+struct DrillLines final : BalancerObserver {
   void on_call(Micros now, const char* call, RequestId id,
                const robinseam::Actions& actions) override {
     lines += std::to_string(now) + ' ' + call + ' ' + std::to_string(id) + '\n';
--- a/tests/extproc/processor_test.cpp
+++ b/tests/extproc/processor_test.cpp
@@ -16,7 +16,7 @@
 
 class ProcessorTest : public testing::Test,
                       public TimeSource,
-                      public Lister,
+                      public ListSource,
                       public Processor::Output {
  protected:
   ProcessorTest() {
@@ -33,7 +33,7 @@
   void start(int servers, std::size_t max_open) {
     core_ = std::make_unique<Core>(settings_, 7, *this, *this, max_open, 1'000'000);
     core_->start(robinseam::test::fleet(servers));
-    core_->turn();
+    core_->process_events();
     Rules rules;
     rules.read_type = "read";
     rules.write_type = "put";
@@ -43,8 +43,8 @@
                                     [](const std::string& server) { return "at-" + server; });
   }
   Micros now() const override { return now_; }
-  void watch() override {}
-  void fetch() override {}
+  void watch_list() override {}
+  void fetch_list() override {}
   void message(StreamId stream, const std::string& bytes) override {
     pb::ProcessingResponse r;
     EXPECT_TRUE(r.ParseFromString(bytes));
@@ -71,7 +71,7 @@
     fields.insert(fields.begin(), more.begin(), more.end());
     fill(*request.mutable_request_headers(), fields);
     processor_->on_message(stream, request.SerializeAsString());
-    core_->turn();
+    core_->process_events();
     return stream;
   }
   void report(StreamId stream, const Fields& fields, const std::string& served_by = "") {
@@ -82,7 +82,7 @@
       (*lb.mutable_fields())["x-gateway-destination-endpoint-served"].set_string_value(served_by);
     }
     processor_->on_message(stream, request.SerializeAsString());
-    core_->turn();
+    core_->process_events();
   }
   /// The endpoint that the stream was told, "" for none, in header and metadata alike.
   std::string endpoint(StreamId stream) {
@@ -103,10 +103,10 @@
     Micros end = now_ + span;
     while (core_->next_timer() && core_->next_timer() <= end) {
       now_ = std::max(now_, core_->next_timer());
-      core_->turn();
+      core_->process_events();
     }
     now_ = end;
-    core_->turn();
+    core_->process_events();
     processor_->sweep();
   }
 
@@ -190,7 +190,7 @@
   put = {{":method", "PUT"}, {"idempotency-key", "k"}};
   StreamId third = ask("w2", put);
   processor_->on_gone(third);  // connection loss after the choice
-  core_->turn();
+  core_->process_events();
   put.emplace_back("x-envoy-attempt-count", "2");
   StreamId fourth = ask("w2", put);
   EXPECT_NE(endpoint(fourth), "");
@@ -282,7 +282,7 @@
     if (k % 5 == 1) processor_->on_half_close(s);
     if (k % 5 == 3) report(s, {{":status", k % 2 ? "200" : "500"}});
     if (k % 5 != 1) processor_->on_gone(s);
-    core_->turn();
+    core_->process_events();
     if (k % 10 == 0) pass(20 * kMillisecond);
   }
   EXPECT_EQ(processor_->open_streams(), 0u);
@@ -309,7 +309,7 @@
     StreamId s = ask("gone" + std::to_string(k), {}, "key" + std::to_string(k));
     pass(20 * kMillisecond);
     processor_->on_gone(s);
-    core_->turn();
+    core_->process_events();
   }
   pass(2 * kSecond);
   const auto& ends = core_->counts().outcomes;
--- a/tests/extproc/seam_test.cpp
+++ b/tests/extproc/seam_test.cpp
@@ -39,7 +39,7 @@
 
 /// Each decision with its time. Which calls brought them differs: a caller that asks again is one
 /// more.
-struct Decisions final : SeamTap {
+struct Decisions final : BalancerObserver {
   void on_call(Micros now, const char*, RequestId, const robinseam::Actions& actions) override {
     for (const robinseam::Action& action : actions)
       lines += std::to_string(now) + ' ' + robinseam::drill::line_of(action) + '\n';
@@ -48,19 +48,19 @@
 };
 
 /// A core on virtual time with requests that come by a plan.
-class World : public Lister {
+class World : public ListSource {
  public:
   explicit World(const robinseam::Settings& settings)
       : core(settings, 7, time, *this, 20'000, 1'000'000) {
-    core.set_tap(&lines);
+    core.set_observer(&lines);
     core.start(robinseam::test::fleet(6));
-    core.turn();
+    core.process_events();
   }
-  void watch() override {}
-  void fetch() override {}
+  void watch_list() override {}
+  void fetch_list() override {}
   /// Lets the core do what is due, and again when its next timer is.
   void turn() {
-    core.turn();
+    core.process_events();
     if (Micros next = core.next_timer();
         next && (!woken_ || next < woken_ || woken_ <= time.now())) {
       woken_ = std::max(next, time.now() + 1);
@@ -91,18 +91,18 @@
 };
 
 /// The router itself: attempts go straight to the servers.
-class Alone final : public World, Carrier, ReplySink {
+class Alone final : public World, AttemptSender, ReplySink {
  public:
   using World::World;
   void ask(int number) override {
     Request r;
     r.write = is_write(number);
-    r.id = id_of(number), r.key = key_of(number), r.type = r.write ? "put" : "read";
+    r.id = id_of(number), r.key = key_of(number), r.class_name = r.write ? "put" : "read";
     r.tenant = "acme";
-    if (r.write) r.idempotency = "i" + std::to_string(number);
-    r.patience = 300 * kMillisecond;
+    if (r.write) r.idempotency_key = "i" + std::to_string(number);
+    r.time_left = 300 * kMillisecond;
     RequestId id;
-    EXPECT_EQ(core.take(std::move(r), *this, *this, id), Core::Taken::Yes);
+    EXPECT_EQ(core.submit(std::move(r), *this, *this, id), Core::SubmitResult::Accepted);
   }
 
  private:
@@ -110,12 +110,12 @@
             Micros) override {
     Fate fate = fate_of(server, request.id, attempt, number_of(request.id));
     time.after(fate.after, [this, id, attempt, fate] {
-      core.attempt_ended(id, attempt, fate.status, {});
+      core.on_attempt_ended(id, attempt, fate.status, {});
       turn();
     });
   }
   Status cancel(const std::string&, RequestId, int) override { return Status::Cancelled; }
-  bool keeps_key(const Request&) const override { return true; }
+  bool supports_idempotency_key(const Request&) const override { return true; }
   void on_reply(const Request&, Reply&&) override {}
 };
 
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -281,7 +281,7 @@
   using Attach = std::function<std::unique_ptr<Frontend>(event_base*, const TimeSource&, Router&)>;
   /// `clock` and `tap` must outlive it. `attach` creates a frontend.
   explicit RunningRouter(const ConfigText& config, const TimeSource* clock = nullptr,
-                         SeamTap* tap = nullptr, Attach attach = nullptr) {
+                         BalancerObserver* tap = nullptr, Attach attach = nullptr) {
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) ADD_FAILURE() << "pipe";
     command_pipe_ = Fd(ends[1]);
@@ -292,7 +292,7 @@
       EventBasePtr base(event_base_new());
       Clock own;
       Router router(base.get(), parse_config(config.text()), clock ? *clock : own);
-      router.core().set_tap(tap);
+      router.core().set_observer(tap);
       std::unique_ptr<Frontend> frontend;
       if (attach) frontend = attach(base.get(), clock ? *clock : own, router);
       if (frontend) router.add_frontend(*frontend);
--- a/tests/memcache_test.cpp
+++ b/tests/memcache_test.cpp
@@ -19,21 +19,22 @@
     std::string_view in = part;
     while (true) {
       Command c;
-      auto got = reader.take(in, c);
-      if (got == CommandReader::Got::Nothing) break;
+      auto got = reader.parse(in, c);
+      if (got == CommandReader::ParseResult::Incomplete) break;
       switch (got) {
-        case CommandReader::Got::Command:
-          seen.push_back((c.set ? "ms " : "mg ") + c.key + ' ' + c.id + ' ' + c.type + ' ' +
-                         c.tenant + ' ' + std::to_string(c.wait_ms) + ' ' + c.before_d + '7' +
-                         c.after_d + "\r\n" + (c.value ? *c.value + "\r\n" : ""));
+        case CommandReader::ParseResult::Command:
+          seen.push_back((c.set ? "ms " : "mg ") + c.key + ' ' + c.id + ' ' + c.class_name + ' ' +
+                         c.tenant + ' ' + std::to_string(c.time_left_ms) + ' ' +
+                         c.line_before_deadline + '7' + c.line_after_deadline + "\r\n" +
+                         (c.value ? *c.value + "\r\n" : ""));
           break;
-        case CommandReader::Got::Noop:
+        case CommandReader::ParseResult::Noop:
           seen.push_back("mn");
           break;
-        case CommandReader::Got::Unknown:
+        case CommandReader::ParseResult::Unknown:
           seen.push_back("unknown");
           break;
-        case CommandReader::Got::Bad:
+        case CommandReader::ParseResult::Malformed:
           seen.push_back("bad");
           break;
         default:
@@ -114,16 +115,16 @@
     std::string_view in = part;
     while (true) {
       Answer a;
-      auto got = reader.take(in, a);
-      if (got == AnswerReader::Got::Nothing) break;
-      if (got == AnswerReader::Got::Broken) {
+      auto got = reader.parse(in, a);
+      if (got == AnswerReader::ParseResult::Incomplete) break;
+      if (got == AnswerReader::ParseResult::Malformed) {
         seen.push_back("broken");
         return seen;
       }
       std::string report;
       for (double v : a.report) report += std::isnan(v) ? " -" : ' ' + std::to_string(v);
       seen.push_back(std::to_string(static_cast<int>(a.kind)) + ' ' + a.id + ' ' + a.receipt +
-                     " h" + std::to_string(a.note) + report + ' ' + a.value +
+                     " h" + std::to_string(a.cache_result) + report + ' ' + a.value +
                      (a.kind == Answer::Kind::Value ? "\r\n" : ""));
     }
   }
@@ -166,7 +167,7 @@
     std::string text = std::string("VA 10 O1\r\nabc") + (ends_early ? "\r\n" : "");
     std::string_view in = text;
     Answer answer;
-    EXPECT_EQ(reader.take(in, answer), AnswerReader::Got::Nothing);
+    EXPECT_EQ(reader.parse(in, answer), AnswerReader::ParseResult::Incomplete);
     EXPECT_TRUE(reader.in_answer());
     EXPECT_EQ(reader.ends_early(), ends_early);
   }
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -26,7 +26,7 @@
   }
   RequestId send() {
     Request r;
-    r.key = "key", r.id = "d" + std::to_string(++asked), r.type = "read", r.tenant = "acme";
+    r.key = "key", r.id = "d" + std::to_string(++asked), r.class_name = "read", r.tenant = "acme";
     side.send("s-1", asked, 0, r, kSecond);
     run();
     return asked;
@@ -93,7 +93,7 @@
     TestConnection link = dials.take(server, first);
     // More than the two sockets hold, so that a part of it waits; then one behind it.
     Request large;
-    large.write = true, large.key = "key", large.id = "w1", large.type = "put";
+    large.write = true, large.key = "key", large.id = "w1", large.class_name = "put";
     large.tenant = "acme";
     large.value = std::make_shared<const std::string>(32u << 20, 'x');
     dials.side.send("s-1", 100, 0, large, kSecond);
@@ -122,7 +122,7 @@
     hosts.push_back(host_json("o-" + std::to_string(k), "127.0.0.1:" + std::to_string(k + 1)));
   dials.side.apply_list(parse_host_list(list_json(2, true, hosts)));
   Request r;
-  r.key = "key", r.id = "d50", r.type = "read", r.tenant = "acme";
+  r.key = "key", r.id = "d50", r.class_name = "read", r.tenant = "acme";
   dials.side.send("idle", 50, 0, r, kSecond);
   while (dials.side.counts().written < 1) dials.run();
   TestConnection kept = idle.accept();
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -31,7 +31,7 @@
 };
 
 /// A client side of its own on the test's thread and clock; the test carries attempts out.
-struct Clients final : Carrier, Lister {
+struct Clients final : AttemptSender, ListSource {
   explicit Clients(ClientSide::Limits limits = {}) : side(base.get(), clock, core, *this, limits) {
     std::string error;
     EXPECT_TRUE(side.listen(*parse_address("127.0.0.1:0"), error)) << error;
@@ -49,16 +49,16 @@
     out.push_back({id, attempt});
   }
   Status cancel(const std::string&, RequestId, int) override { return Status::Cancelled; }
-  bool take_back(const std::string&, RequestId, int) override { return unwritten; }
-  bool keeps_key(const Request&) const override { return true; }
-  void watch() override {}
-  void fetch() override {}
+  bool withdraw(const std::string&, RequestId, int) override { return unwritten; }
+  bool supports_idempotency_key(const Request&) const override { return true; }
+  void watch_list() override {}
+  void fetch_list() override {}
 
   void turn() {
     do {
-      core.turn();
+      core.process_events();
       side.flush();
-    } while (core.pending() || side.dirty());
+    } while (core.has_pending_events() || side.dirty());
   }
   void run() {
     turn();
@@ -89,7 +89,7 @@
   void serve(std::size_t number, const std::string& value) {
     AttemptResult result;
     result.value = value;
-    core.attempt_ended(out[number].first, out[number].second, Status::Ok, std::move(result));
+    core.on_attempt_ended(out[number].first, out[number].second, Status::Ok, std::move(result));
   }
   /// `act` right before the next sweep, in the same step of the loop: what it writes is not read
   /// before that.
@@ -421,7 +421,7 @@
   RequestId send(bool write = false, std::size_t size = 1) {
     Request r;
     r.key = "key", r.id = "e" + std::to_string(++asked), r.tenant = "acme";
-    r.type = write ? "put" : "read", r.write = write;
+    r.class_name = write ? "put" : "read", r.write = write;
     if (write) r.value = std::make_shared<const std::string>(size, 'x');
     side.send("s-1", asked, 0, r, kSecond);
     run();
@@ -474,7 +474,7 @@
   FullBacklog server;
   Servers servers(server.peer.address());
   RequestId gone = servers.send();
-  EXPECT_TRUE(servers.side.take_back("s-1", gone, 0));
+  EXPECT_TRUE(servers.side.withdraw("s-1", gone, 0));
   TestConnection link;
   std::thread late([&] { link = server.let_in(); });
   servers.run_until([&] { return servers.side.idle_connections() == 1; });
@@ -512,10 +512,10 @@
   TestConnection link = server.accept();
   servers.run();
   RequestId behind = servers.send();
-  EXPECT_TRUE(servers.side.take_back("s-1", behind, 0));
+  EXPECT_TRUE(servers.side.withdraw("s-1", behind, 0));
   EXPECT_EQ(servers.side.counts().written, 0u);
   RequestId last = servers.send();
-  EXPECT_TRUE(servers.side.take_back("s-1", large, 0));  // it was not whole: it never runs
+  EXPECT_TRUE(servers.side.withdraw("s-1", large, 0));  // it was not whole: it never runs
   EXPECT_EQ(servers.end_of(last), Status::ConnectFailed);
   EXPECT_EQ(servers.side.connections(), 0u);
   EXPECT_EQ(servers.side.counts().written, 0u);
@@ -531,7 +531,7 @@
   TestConnection link = server.accept();
   RequestId large = servers.send(true, 32u << 20);
   servers.run();
-  EXPECT_FALSE(servers.side.take_back("s-1", large, 0));
+  EXPECT_FALSE(servers.side.withdraw("s-1", large, 0));
   link.line();
   link.write(value_answer("e1", "v"));
   EXPECT_EQ(servers.end_of(first), Status::Ok);
@@ -543,7 +543,7 @@
   servers.send();
   servers.written(1);
   RequestId gone = servers.send();
-  EXPECT_TRUE(servers.side.take_back("s-1", gone, 0));
+  EXPECT_TRUE(servers.side.withdraw("s-1", gone, 0));
   EXPECT_EQ(servers.side.counts().written, 1u);
 }
 
@@ -559,7 +559,7 @@
     link.line();
     RequestId second = neighbour ? servers.send() : 0;
     if (neighbour) servers.written(2);
-    EXPECT_EQ(servers.side.end("s-1", first, 0),
+    EXPECT_EQ(servers.side.stop_for_retry("s-1", first, 0),
               neighbour ? std::nullopt : std::optional(Status::Cancelled));
     if (!neighbour) {
       EXPECT_TRUE(link.is_closed());
--- a/tests/operations/large_values_test.cpp
+++ b/tests/operations/large_values_test.cpp
@@ -171,8 +171,8 @@
 TEST(ValuePipe, HoldsAWindowAndEndsFromEitherSide) {
   ValuePipe pipe(10, 4);
   int room = 0, bytes = 0;
-  pipe.on_room([&] { ++room; });
-  pipe.on_bytes([&] { ++bytes; });
+  pipe.on_writable([&] { ++room; });
+  pipe.on_readable([&] { ++bytes; });
   EXPECT_EQ(pipe.take(), "");
   EXPECT_EQ(room, 0);
   pipe.put("abcd");
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -762,7 +762,8 @@
   /// Sends one attempt and cancels it once it has been written completely.
   void send_and_cancel() {
     Request r;
-    r.key = "key", r.id = "S" + std::to_string(++request_count), r.type = "read", r.tenant = "acme";
+    r.key = "key", r.id = "S" + std::to_string(++request_count), r.class_name = "read",
+    r.tenant = "acme";
     std::uint64_t written = side.counts().written;
     int unsent = ends[Status::Moot];
     side.send("s-1", request_count, 0, r, kSecond);
--- a/tests/store/belief_test.cpp
+++ b/tests/store/list_trust_test.cpp
@@ -1,5 +1,5 @@
 // What a kept list is worth: a table, and the whole way over a folder.
-#include "store/belief.hpp"
+#include "store/list_trust.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 #include <thread>
 
 #include "rig/process.hpp"
-#include "store/keeping.hpp"
+#include "store/disk_list_persistence.hpp"
 #include "store/tool.hpp"
 #include "store/virtual_disk.hpp"
 
@@ -21,34 +21,34 @@
 
 struct Case {
   const char* name;
-  KeptList kept;
-  Worth worth;
+  PersistedList kept;
+  ListTrust trust;
 };
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
 class Beliefs : public testing::TestWithParam<Case> {};
 
 TEST_P(Beliefs, AreByAgeOwnerAndDamage) {
-  EXPECT_EQ(judge(GetParam().kept, "me", kNow, kTaken, kAsked).worth, GetParam().worth);
+  EXPECT_EQ(assess_trust(GetParam().kept, "me", kNow, kTaken, kAsked).trust, GetParam().trust);
 }
 
-KeptList kept(Micros age, bool doubted = false, const char* owner = "me", bool any = true) {
-  return {owner, kNow - age, doubted, any};
+PersistedList kept(Micros age, bool unverified = false, const char* owner = "me", bool any = true) {
+  return {owner, kNow - age, unverified, any};
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All, Beliefs,
-    testing::Values(Case{"of_now", kept(0), Worth::Taken},
-                    Case{"a_little_old", kept(kTaken), Worth::Taken},
-                    Case{"older", kept(kTaken + 1), Worth::Asked},
-                    Case{"as_old_as_may_be", kept(kAsked), Worth::Asked},
-                    Case{"too_old", kept(kAsked + 1), Worth::Dropped},
-                    Case{"damaged", kept(0, true), Worth::Asked},
-                    Case{"damaged_and_too_old", kept(kAsked + 1, true), Worth::Dropped},
-                    Case{"another_routers", kept(0, false, "you"), Worth::Dropped},
-                    Case{"names_nobody", kept(0, false, "me", false), Worth::Dropped},
-                    Case{"clocks_differ_a_little", kept(-2 * kS), Worth::Taken},
-                    Case{"clock_set_back_an_hour", kept(-3600 * kS), Worth::Asked},
-                    Case{"clock_set_ahead_an_hour", kept(3600 * kS), Worth::Dropped}),
+    testing::Values(Case{"of_now", kept(0), ListTrust::Trusted},
+                    Case{"a_little_old", kept(kTaken), ListTrust::Trusted},
+                    Case{"older", kept(kTaken + 1), ListTrust::Unverified},
+                    Case{"as_old_as_may_be", kept(kAsked), ListTrust::Unverified},
+                    Case{"too_old", kept(kAsked + 1), ListTrust::Discarded},
+                    Case{"damaged", kept(0, true), ListTrust::Unverified},
+                    Case{"damaged_and_too_old", kept(kAsked + 1, true), ListTrust::Discarded},
+                    Case{"another_routers", kept(0, false, "you"), ListTrust::Discarded},
+                    Case{"names_nobody", kept(0, false, "me", false), ListTrust::Discarded},
+                    Case{"clocks_differ_a_little", kept(-2 * kS), ListTrust::Trusted},
+                    Case{"clock_set_back_an_hour", kept(-3600 * kS), ListTrust::Unverified},
+                    Case{"clock_set_ahead_an_hour", kept(3600 * kS), ListTrust::Discarded}),
     [](const auto& one) { return std::string(one.param.name); });
 
 arrowfork::HostList list() {
@@ -60,17 +60,17 @@
   arrowfork::rig::TemporaryFolder top;
   arrowfork::StoreSettings settings{(top.path() / "kept").string()};
   Micros now = kNow;
-  std::unique_ptr<Keeping> keep(const char* owner = "me") {
-    return std::make_unique<Keeping>(settings, owner, [this] { return now; });
+  std::unique_ptr<DiskListPersistence> keep(const char* owner = "me") {
+    return std::make_unique<DiskListPersistence>(settings, owner, [this] { return now; });
   }
   arrowfork::Config given(const char* owner = "me") {
     arrowfork::Config c;
-    keep(owner)->give(c);
+    keep(owner)->restore_list(c);
     return c;
   }
 };
 
-TEST(Keeping, GivesTheListBackByItsAge) {
+TEST(DiskListPersistence, GivesTheListBackByItsAge) {
   Folder f;
   EXPECT_TRUE(f.given().known.hosts.empty());
   f.keep()->on_list_confirmed(list());
@@ -85,11 +85,11 @@
   EXPECT_TRUE(f.given().known.hosts.empty());
 }
 
-TEST(Keeping, AFolderThatCannotBeUsedIsToldAndNothingElse) {
+TEST(DiskListPersistence, AFolderThatCannotBeUsedIsToldAndNothingElse) {
   Folder f;
   auto first = f.keep();
   first->on_list_confirmed(list());
-  auto state = [](const Keeping& k) { return k.stats().back().second; };
+  auto state = [](const DiskListPersistence& k) { return k.stats().back().second; };
   auto second = f.keep();  // two processes on one folder
   EXPECT_EQ(state(*second), "not_used");
   second->on_list_confirmed(list());
@@ -97,13 +97,13 @@
   first.reset();
   EXPECT_EQ(f.given().known.hosts.size(), 1u);
   std::ofstream(f.settings.folder + "/0000000000000000.log")
-      << text_of(Header{kVersion + 1, Kind::Log, 0});
+      << encode_header(Header{kVersion + 1, FileKind::Log, 0});
   EXPECT_EQ(state(*f.keep()), "not_used");
   f.settings.folder = f.settings.folder + "/0000000000000000.log/under";
   EXPECT_EQ(state(*f.keep()), "not_used");
 }
 
-TEST(Keeping, TenStartsInAMinuteLeaveTwoFilesAndToolsReadThem) {
+TEST(DiskListPersistence, TenStartsInAMinuteLeaveTwoFilesAndToolsReadThem) {
   Folder f;
   for (int k = 0; k < 10; ++k, f.now += 6 * kS) {
     auto keeping = f.keep();
@@ -134,61 +134,61 @@
     std::unique_ptr<File> file;
     std::mutex& gate;
     Slow(std::unique_ptr<File> inner, std::mutex& g) : file(std::move(inner)), gate(g) {}
-    Fault append(std::string_view bytes) override { return file->append(bytes); }
-    Fault sync() override {
+    Error append(std::string_view bytes) override { return file->append(bytes); }
+    Error sync() override {
       std::lock_guard wait(gate);
       return file->sync();
     }
   };
-  Fault lock() override { return disk->lock(); }
-  Fault list(std::vector<std::string>& names) override { return disk->list(names); }
-  Fault read(const std::string& name, std::size_t most, std::string& bytes) override {
+  Error lock() override { return disk->lock(); }
+  Error list(std::vector<std::string>& names) override { return disk->list(names); }
+  Error read(const std::string& name, std::size_t most, std::string& bytes) override {
     return disk->read(name, most, bytes);
   }
-  Fault create(const std::string& name, std::unique_ptr<File>& file) override {
+  Error create(const std::string& name, std::unique_ptr<File>& file) override {
     std::unique_ptr<File> inner;
-    Fault f = disk->create(name, inner);
+    Error f = disk->create(name, inner);
     file = std::make_unique<Slow>(std::move(inner), gate);
     return f;
   }
-  Fault rename(const std::string& from, const std::string& to) override {
+  Error rename(const std::string& from, const std::string& to) override {
     return disk->rename(from, to);
   }
-  Fault remove(const std::string& name) override { return disk->remove(name); }
-  Fault sync_names() override { return disk->sync_names(); }
+  Error remove(const std::string& name) override { return disk->remove(name); }
+  Error sync_directory() override { return disk->sync_directory(); }
 };
 
 TEST(Committer, AStalledDiskHoldsNobodyUpAndGetsEverythingLater) {
   auto files = std::make_shared<Stalled>();
   Limits limits{.waiting_bytes = 4096};
   auto journal = std::make_shared<Journal>(files, limits);
-  Journal::Opened opened;
-  ASSERT_EQ(journal->open(opened), Fault::None);
+  Journal::Contents opened;
+  ASSERT_EQ(journal->open(opened), Error::None);
   Store store(limits);
   auto committer = std::make_unique<Committer>(journal);
-  Store::Token token = 0, last = 0;
-  Fault fault = Fault::None;
+  Store::Sequence token = 0, last = 0;
+  Error fault = Error::None;
   {
     std::lock_guard stall(files->gate);
     // More than may wait: every call returns, and the last ones say that the disk is behind.
     for (int k = 0; k < 100; ++k) {
       fault = store.put("k" + std::to_string(k), std::string(100, 'v'), 0, token);
-      if (fault == Fault::None) last = token;
-      committer->offer(store.batch(), 0);
+      if (fault == Error::None) last = token;
+      committer->submit(store.batch(), 0);
     }
-    EXPECT_EQ(fault, Fault::Busy);
+    EXPECT_EQ(fault, Error::Backlogged);
     EXPECT_EQ(committer->state().durable, 0u);
     EXPECT_TRUE(committer->state().busy);
   }
   while (!store.is_durable(last)) {
-    store.written(committer->state().durable);
-    committer->offer(store.batch(), 0);
+    store.mark_durable(committer->state().durable);
+    committer->submit(store.batch(), 0);
     std::this_thread::yield();
   }
-  EXPECT_EQ(store.waiting(), 0u);
+  EXPECT_EQ(store.waiting_bytes(), 0u);
   committer.reset();
-  Journal::Opened again;
-  ASSERT_EQ(Journal(files->disk->after_power_loss(1), limits).open(again), Fault::None);
+  Journal::Contents again;
+  ASSERT_EQ(Journal(files->disk->after_power_loss(1), limits).open(again), Error::None);
   EXPECT_EQ(again.entries.size(), last);
 }
 
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -25,25 +25,25 @@
 struct Machine {
   explicit Machine(std::shared_ptr<VirtualDisk> files, Limits limits = small())
       : disk(std::move(files)), journal(disk, limits), store(limits) {
-    Journal::Opened opened;
+    Journal::Contents opened;
     fault = journal.open(opened);
-    damaged = opened.damaged;
-    for (const auto& [key, e] : opened.entries) found[key] = e.value, doubted += e.doubted;
+    damaged = opened.damaged_places;
+    for (const auto& [key, e] : opened.entries) found[key] = e.value, unverified += e.unverified;
     store.load(std::move(opened));
   }
   void put(const std::string& key, const std::string& value) {
-    Store::Token token = 0;
-    if (store.put(key, value, 0, token) == Fault::None) may[key].emplace_back(token, value);
+    Store::Sequence token = 0;
+    if (store.put(key, value, 0, token) == Error::None) may[key].emplace_back(token, value);
   }
   void erase(const std::string& key) {
-    Store::Token token = 0;
-    if (store.erase(key, token) == Fault::None && token > 0) may[key].emplace_back(token, "");
+    Store::Sequence token = 0;
+    if (store.erase(key, token) == Error::None && token > 0) may[key].emplace_back(token, "");
   }
-  Fault commit() {
+  Error commit() {
     Store::Batch b = store.batch();
-    if (b.last == 0) return Fault::None;
-    Fault f = journal.commit(b.records, b.first, b.last);
-    if (f == Fault::None) store.written(b.last);
+    if (b.last == 0) return Error::None;
+    Error f = journal.commit(b.records, b.first, b.last);
+    if (f == Error::None) store.mark_durable(b.last);
     return f;
   }
   /// Whether what another found is what this one may have left.
@@ -64,16 +64,16 @@
   std::shared_ptr<VirtualDisk> disk;
   Journal journal;
   Store store;
-  Fault fault = Fault::None;
-  std::size_t damaged = 0, doubted = 0;
+  Error fault = Error::None;
+  std::size_t damaged = 0, unverified = 0;
   std::map<std::string, std::string> found;
-  std::map<std::string, std::vector<std::pair<Store::Token, std::string>>> may;
+  std::map<std::string, std::vector<std::pair<Store::Sequence, std::string>>> may;
 };
 
 /// Puts and erases over a few keys, commits now and then, compactions on the way.
 void script(Machine& m, std::uint64_t seed, int changes) {
   std::mt19937_64 random(seed);
-  for (int k = 0; k < changes && !m.disk->dead(); ++k) {
+  for (int k = 0; k < changes && !m.disk->power_lost(); ++k) {
     std::string key = "k" + std::to_string(random() % 7);
     if (random() % 5 == 0)
       m.erase(key);
@@ -97,7 +97,7 @@
       m.erase(key), state.erase(key);
     else
       m.put(key, "value " + std::to_string(k)), state[key] = "value " + std::to_string(k);
-    ASSERT_EQ(m.commit(), Fault::None);
+    ASSERT_EQ(m.commit(), Error::None);
     states.push_back(state);
   }
   ASSERT_EQ(disk->bytes().size(), 1u);
@@ -107,7 +107,7 @@
     auto cut = std::make_shared<VirtualDisk>();
     cut->set_bytes(name, bytes.substr(0, size));
     Machine again(cut, limits);
-    ASSERT_EQ(again.fault, Fault::None);
+    ASSERT_EQ(again.fault, Error::None);
     // Exactly a beginning of what was done, never a shorter one for a longer file.
     std::size_t at = before;
     while (at < states.size() && states[at] != again.found) ++at;
@@ -115,7 +115,7 @@
     before = at;
     // And it goes on from there.
     again.put("new", "one");
-    ASSERT_EQ(again.commit(), Fault::None) << size;
+    ASSERT_EQ(again.commit(), Error::None) << size;
     Machine third(cut->after_power_loss(size), limits);
     EXPECT_EQ(third.found["new"], "one");
     EXPECT_EQ(third.found.size(), states[at].size() + 1);
@@ -135,13 +135,13 @@
   for (int die = 0; die <= steps; ++die)
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       auto disk = std::make_shared<VirtualDisk>();
-      disk->die_after(die);
+      disk->lose_power_after(die);
       Machine m(disk);
       script(m, 1, 120);
       auto left = disk->after_power_loss(seed);
       std::string where = std::to_string(die) + "/" + std::to_string(seed);
       Machine next(left);
-      ASSERT_EQ(next.fault, Fault::None) << where;
+      ASSERT_EQ(next.fault, Error::None) << where;
       EXPECT_EQ(next.damaged, 0u) << where;
       m.expect_left(next.found, where);
       if (HasFailure()) return;
@@ -151,18 +151,18 @@
 TEST(Store, KilledThenPowerLossThenKilledAgain) {
   for (std::uint64_t seed = 1; seed <= 5 * kSeeds; ++seed) {
     auto disk = std::make_shared<VirtualDisk>();
-    std::map<std::string, std::vector<std::pair<Store::Token, std::string>>> may;
+    std::map<std::string, std::vector<std::pair<Store::Sequence, std::string>>> may;
     for (int life = 0; life < 4; ++life) {
       std::string where = std::to_string(seed) + "/" + std::to_string(life);
       Machine m(disk);
-      ASSERT_EQ(m.fault, Fault::None) << where;
+      ASSERT_EQ(m.fault, Error::None) << where;
       EXPECT_EQ(m.damaged, 0u) << where;
       // What was found and not yet made durable by this process may be lost with the power.
       for (const auto& [key, value] : m.found) m.may[key] = {{0, value}};
-      disk->die_after(static_cast<int>(seed * 7 % 60) + 5);
+      disk->lose_power_after(static_cast<int>(seed * 7 % 60) + 5);
       script(m, seed * 10 + static_cast<std::uint64_t>(life), 30);
-      auto next = seed % 2 ? disk->after_power_loss(seed) : disk->copy();
-      Machine look(next->copy());
+      auto next = seed % 2 ? disk->after_power_loss(seed) : disk->after_process_kill();
+      Machine look(next->after_process_kill());
       if (seed % 2) m.expect_left(look.found, where);
       disk = next;
       if (HasFailure()) return;
@@ -173,7 +173,7 @@
 struct Trouble {
   const char* name;
   Op op;
-  Fault fault;
+  Error fault;
   int times;
 };
 void PrintTo(const Trouble& t, std::ostream* out) { *out << t.name; }
@@ -185,14 +185,14 @@
     for (int after : {0, 3, 10, 31, 60}) {
       auto disk = std::make_shared<VirtualDisk>();
       Machine m(disk);
-      disk->fail(t.op, after, t.times, t.fault);
+      disk->fail_operations(t.op, after, t.times, t.fault);
       script(m, seed, 80);
       std::string where = std::to_string(seed) + "/" + std::to_string(after);
       Machine next(disk->after_power_loss(seed));
       m.expect_left(next.found, where);
       // Once the fault is over everything is written.
-      disk->fail(t.op, 0, 0, Fault::None);
-      ASSERT_EQ(m.commit(), Fault::None) << where;
+      disk->fail_operations(t.op, 0, 0, Error::None);
+      ASSERT_EQ(m.commit(), Error::None) << where;
       Machine third(disk->after_power_loss(seed + 1));
       EXPECT_EQ(third.damaged, 0u) << where;
       m.expect_left(third.found, where);
@@ -200,18 +200,19 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Troubled,
-                         testing::Values(Trouble{"append_fails_once", Op::Append, Fault::Io, 1},
-                                         Trouble{"append_fails_long", Op::Append, Fault::Io, 9},
-                                         Trouble{"disk_full", Op::Append, Fault::Full, 9},
-                                         Trouble{"sync_fails_once", Op::Sync, Fault::Io, 1},
-                                         Trouble{"sync_fails_long", Op::Sync, Fault::Io, 9},
-                                         Trouble{"create_fails", Op::Create, Fault::Rights, 3},
-                                         Trouble{"rename_fails", Op::Rename, Fault::Io, 3},
-                                         Trouble{"remove_fails", Op::Remove, Fault::Rights, 5},
-                                         Trouble{"read_fails", Op::Read, Fault::Io, 3},
-                                         Trouble{"names_not_synced", Op::SyncNames, Fault::Io, 3}),
-                         [](const auto& one) { return std::string(one.param.name); });
+INSTANTIATE_TEST_SUITE_P(
+    All, Troubled,
+    testing::Values(Trouble{"append_fails_once", Op::Append, Error::Io, 1},
+                    Trouble{"append_fails_long", Op::Append, Error::Io, 9},
+                    Trouble{"disk_full", Op::Append, Error::DiskFull, 9},
+                    Trouble{"sync_fails_once", Op::Sync, Error::Io, 1},
+                    Trouble{"sync_fails_long", Op::Sync, Error::Io, 9},
+                    Trouble{"create_fails", Op::Create, Error::PermissionDenied, 3},
+                    Trouble{"rename_fails", Op::Rename, Error::Io, 3},
+                    Trouble{"remove_fails", Op::Remove, Error::PermissionDenied, 5},
+                    Trouble{"read_fails", Op::Read, Error::Io, 3},
+                    Trouble{"names_not_synced", Op::SyncDirectory, Error::Io, 3}),
+    [](const auto& one) { return std::string(one.param.name); });
 
 TEST(Store, DamageInTheMiddleIsToldAndCastsDoubtOnWhatStoodBefore) {
   auto disk = std::make_shared<VirtualDisk>();
@@ -220,7 +221,7 @@
   Machine m(disk, limits);
   auto each = [&](auto change) {
     change();
-    ASSERT_EQ(m.commit(), Fault::None);
+    ASSERT_EQ(m.commit(), Error::None);
   };
   each([&] { m.put("old", "kept"); });
   each([&] { m.put("gone", "was"); });
@@ -235,28 +236,28 @@
   auto rotten = std::make_shared<VirtualDisk>();
   rotten->set_bytes(name, bytes);
   Machine again(rotten, limits);
-  EXPECT_EQ(again.fault, Fault::None);
+  EXPECT_EQ(again.fault, Error::None);
   EXPECT_EQ(again.damaged, 1u);
   EXPECT_EQ(again.found.count("b"), 0u);
   EXPECT_EQ(again.found["late"], "4");
-  EXPECT_TRUE(again.store.get("gone", 0)->doubted);
-  EXPECT_TRUE(again.store.get("old", 0)->doubted);
-  EXPECT_FALSE(again.store.get("late", 0)->doubted);
+  EXPECT_TRUE(again.store.get("gone", 0)->unverified);
+  EXPECT_TRUE(again.store.get("old", 0)->unverified);
+  EXPECT_FALSE(again.store.get("late", 0)->unverified);
   // Nor does a compaction forget that.
   again.put("more", "5");
-  ASSERT_EQ(again.commit(), Fault::None);
+  ASSERT_EQ(again.commit(), Error::None);
   Machine third(rotten->after_power_loss(1), limits);
   EXPECT_EQ(third.damaged, 0u);
-  EXPECT_TRUE(third.store.get("gone", 0)->doubted);
+  EXPECT_TRUE(third.store.get("gone", 0)->unverified);
   EXPECT_EQ(third.found["more"], "5");
 }
 
 TEST(Store, AFolderOfALaterVersionIsLeftAlone) {
   auto disk = std::make_shared<VirtualDisk>();
-  disk->set_bytes("0000000000000001.log", text_of({kVersion + 1, Kind::Log, 1}));
+  disk->set_bytes("0000000000000001.log", encode_header({kVersion + 1, FileKind::Log, 1}));
   auto before = disk->bytes();
   Machine m(disk);
-  EXPECT_EQ(m.fault, Fault::Newer);
+  EXPECT_EQ(m.fault, Error::NewerVersion);
   EXPECT_EQ(disk->bytes(), before);
 }
 
@@ -267,13 +268,13 @@
   std::size_t most = 0;
   int puts = kSeeds > 10 ? 1'000'000 : 50'000;
   for (int k = 0; k < puts; ++k) {
-    Store::Token token = 0;
+    Store::Sequence token = 0;
     std::string value = std::to_string(k);
-    ASSERT_EQ(m.store.put("key" + std::to_string(k % 1000), value, 0, token), Fault::None);
+    ASSERT_EQ(m.store.put("key" + std::to_string(k % 1000), value, 0, token), Error::None);
     if (k % 500 != 499) continue;
-    ASSERT_EQ(m.commit(), Fault::None);
+    ASSERT_EQ(m.commit(), Error::None);
     if (m.journal.wants_compaction()) {
-      ASSERT_EQ(m.journal.compact(0), Fault::None);
+      ASSERT_EQ(m.journal.compact(0), Error::None);
     }
     most = std::max(most, m.journal.bytes());
   }
@@ -289,31 +290,31 @@
 TEST(Store, BoundsAndTimesAreKept) {
   Limits limits{.record_bytes = 100, .memory_bytes = 1000, .waiting_bytes = 300};
   Store store(limits);
-  Store::Token token = 0;
-  EXPECT_EQ(store.put("k", std::string(101, 'x'), 0, token), Fault::TooLarge);
-  EXPECT_EQ(store.put(std::string(kMostKey + 1, 'k'), "", 0, token), Fault::TooLarge);
-  EXPECT_EQ(store.put("a", "1", 50, token), Fault::None);
+  Store::Sequence token = 0;
+  EXPECT_EQ(store.put("k", std::string(101, 'x'), 0, token), Error::TooLarge);
+  EXPECT_EQ(store.put(std::string(kMaxKeyBytes + 1, 'k'), "", 0, token), Error::TooLarge);
+  EXPECT_EQ(store.put("a", "1", 50, token), Error::None);
   EXPECT_EQ(token, 1u);
   EXPECT_NE(store.get("a", 49), nullptr);
   EXPECT_EQ(store.get("a", 50), nullptr);
   store.expire(50);
   EXPECT_EQ(store.size(), 0u);
-  EXPECT_EQ(store.memory(), 0u);
-  EXPECT_EQ(store.erase("a", token), Fault::None);
+  EXPECT_EQ(store.memory_bytes(), 0u);
+  EXPECT_EQ(store.erase("a", token), Error::None);
   EXPECT_EQ(token, 0u);
-  Fault f = Fault::None;
+  Error f = Error::None;
   int k = 0;
-  for (; f == Fault::None; ++k)
+  for (; f == Error::None; ++k)
     f = store.put("w" + std::to_string(k), std::string(60, 'y'), 0, token);
-  EXPECT_EQ(f, Fault::Busy);  // the disk is behind
-  store.written(store.batch().last);
-  EXPECT_EQ(store.waiting(), 0u);
-  for (f = Fault::None; f == Fault::None; ++k) {
+  EXPECT_EQ(f, Error::Backlogged);  // the disk is behind
+  store.mark_durable(store.batch().last);
+  EXPECT_EQ(store.waiting_bytes(), 0u);
+  for (f = Error::None; f == Error::None; ++k) {
     f = store.put("w" + std::to_string(k), std::string(60, 'y'), 0, token);
-    store.written(store.batch().last);
+    store.mark_durable(store.batch().last);
   }
-  EXPECT_EQ(f, Fault::Full);
-  EXPECT_LE(store.memory(), 1000u);
+  EXPECT_EQ(f, Error::DiskFull);
+  EXPECT_LE(store.memory_bytes(), 1000u);
 }
 
 }  // namespace
