--- a/src/control/calls.hpp
+++ b/src/control/calls.hpp
@@ -1,4 +1,4 @@
-// The calls of the control address, between HTTP/1.1 text and what is asked. No I/O.
+// Parsing and answers of the HTTP/1.1 calls at the control address. No I/O.
 #pragma once
 
 #include <string>
@@ -6,26 +6,26 @@
 
 namespace arrowfork {
 
-/// Bytes of a call's head (RFC 9112); a longer one is refused.
+/// Longest accepted head of a call (RFC 9112).
 constexpr std::size_t kMaxControlHeadBytes = 8192;
 
 struct ControlCall {
   enum class Kind { Ready, Metrics, Disable, Enable, Drain, Resume };
   Kind kind = Kind::Ready;
-  std::string id;  ///< of the cache server, of Disable and Enable
+  std::string id;  ///< for Disable and Enable: the cache server
 };
 
-/// The status of an answer: 200, or why not.
+/// The result of parsing what has been received of a call.
 struct ControlCallParse {
   enum class State { Incomplete, Complete, Invalid };
   State state = State::Incomplete;
   ControlCall call;
-  int status = 400;  ///< of Invalid
+  int status = 400;  ///< for Invalid: the HTTP status of the answer
 };
 
-/// Reads the head of a request from what has come so far.
+/// Parses the head of a request from the bytes received so far.
 ControlCallParse parse_control_call(std::string_view text);
-/// A whole answer that ends the connection; `type` is its body's media type.
+/// A complete answer with `Connection: close`; `type` is the media type of the body.
 std::string control_answer(int status, std::string_view body, std::string_view type = "text/plain");
 
 }  // namespace arrowfork
--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -8,12 +8,12 @@
 namespace arrowfork {
 namespace {
 
-// A connection is closed after this, whatever it has said: an answer is owed within a second, and
-// nobody needs longer to ask.
-constexpr Micros kLongest = 5 * kSecond;
-constexpr Micros kSweep = kSecond / 4;
-// One turn takes so many callers, so that clients' requests are not kept waiting by them.
-constexpr int kAccepts = 64;
+// Connections are closed at this age in any state: an answer is due within a second, and no caller
+// needs longer to send its call.
+constexpr Micros kMaxConnectionAge = 5 * kSecond;
+constexpr Micros kSweepInterval = kSecond / 4;
+// Accepted at most in one loop iteration, so that callers do not delay clients' requests.
+constexpr int kMaxAcceptsPerTurn = 64;
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   accept_event_.reset(event_new(base_, listener_.get(), EV_READ | EV_PERSIST, on_accept, this));
   event_add(accept_event_.get(), nullptr);
   sweep_event_.reset(event_new(base_, -1, EV_PERSIST, on_sweep, this));
-  timeval every = timeval_of(kSweep);
+  timeval every = timeval_of(kSweepInterval);
   event_add(sweep_event_.get(), &every);
   return true;
 }
@@ -37,11 +37,11 @@
 std::uint16_t ControlServer::port() const { return port_of(listener_); }
 
 void ControlServer::on_accept(evutil_socket_t, short, void* self) {
-  static_cast<ControlServer*>(self)->accept_some();
+  static_cast<ControlServer*>(self)->accept_pending();
 }
 
-void ControlServer::accept_some() {
-  for (int k = 0; k < kAccepts; ++k) {
+void ControlServer::accept_pending() {
+  for (int k = 0; k < kMaxAcceptsPerTurn; ++k) {
     Fd fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) return;
     if (connections_.size() >= kMaxConnections) {
@@ -54,38 +54,39 @@
       connections_.erase(oldest);
     }
     Connection& c = connections_.emplace_back();
-    c.side = this;
+    c.server = this;
     c.fd = std::move(fd);
-    c.since = clock_.now();
-    c.at = std::prev(connections_.end());
+    c.accepted_at = clock_.now();
+    c.position = std::prev(connections_.end());
     c.read.reset(event_new(base_, c.fd.get(), EV_READ | EV_PERSIST, on_event, &c));
     c.write.reset(event_new(base_, c.fd.get(), EV_WRITE, on_event, &c));
     event_add(c.read.get(), nullptr);
-    read(c);  // the call has most often come along
+    read(c);  // the call has usually arrived by now
   }
 }
 
 void ControlServer::on_event(evutil_socket_t, short what, void* connection) {
   auto& c = *static_cast<Connection*>(connection);
-  if ((what & EV_WRITE) && !c.side->write(c)) return;
-  if (what & EV_READ) c.side->read(c);
+  if ((what & EV_WRITE) && !c.server->write(c)) return;
+  if (what & EV_READ) c.server->read(c);
 }
 
 void ControlServer::read(Connection& c) {
-  char part[4096];
-  ssize_t got = ::recv(c.fd.get(), part, sizeof part, 0);
+  char buffer[4096];
+  ssize_t got = ::recv(c.fd.get(), buffer, sizeof buffer, 0);
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
   if (got <= 0) {
-    connections_.erase(c.at);
+    connections_.erase(c.position);
     return;
   }
-  if (c.answered) return;  // a body, or more than one call: not asked for
-  c.in.append(part, static_cast<std::size_t>(got));
-  ControlCallParse r = parse_control_call(c.in);
-  if (r.state == ControlCallParse::State::Incomplete) return;
+  if (c.answered) return;  // a body or a further call: ignored
+  c.in.append(buffer, static_cast<std::size_t>(got));
+  ControlCallParse parsed = parse_control_call(c.in);
+  if (parsed.state == ControlCallParse::State::Incomplete) return;
   c.answered = true;
-  c.out = r.state == ControlCallParse::State::Complete ? handler_.on_control_call(r.call)
-                                                       : control_answer(r.status, "no such call\n");
+  c.out = parsed.state == ControlCallParse::State::Complete
+              ? handler_.on_control_call(parsed.call)
+              : control_answer(parsed.status, "no such call\n");
   write(c);
 }
 
@@ -98,12 +99,13 @@
       return true;
     }
     if (put < 0) {
-      connections_.erase(c.at);
+      connections_.erase(c.position);
       return false;
     }
     c.out.erase(0, static_cast<std::size_t>(put));
   }
-  // Read on until the caller's end: closing over unread bytes would reset the answer away.
+  // The connection is read until the caller closes it: closing with unread bytes would send a reset
+  // that discards the answer.
   ::shutdown(c.fd.get(), SHUT_WR);
   return true;
 }
@@ -111,7 +113,7 @@
 void ControlServer::on_sweep(evutil_socket_t, short, void* self) {
   auto* s = static_cast<ControlServer*>(self);
   Micros now = s->clock_.now();
-  while (!s->connections_.empty() && now - s->connections_.front().since > kLongest)
+  while (!s->connections_.empty() && now - s->connections_.front().accepted_at > kMaxConnectionAge)
     s->connections_.pop_front();
 }
 
--- a/src/control/control_server.hpp
+++ b/src/control/control_server.hpp
@@ -1,4 +1,4 @@
-// The control address: a listener on the router's loop, one call to a connection.
+// Serves the control address on the router's loop, one call for each connection.
 #pragma once
 
 #include <list>
@@ -11,12 +11,14 @@
 
 class ControlServer {
  public:
-  /// Connections at once. Callers that hold theirs without a whole call make way, oldest first.
+  /// Most connections at once. Beyond, the oldest one without an answered call is closed, else the
+  /// oldest.
   static constexpr std::size_t kMaxConnections = 24;
 
   class Handler {
    public:
-    /// The whole answer, made with control_answer(). Must not take long: the loop waits.
+    /// Returns the complete answer, made with control_answer(). Must not block: it runs on the
+    /// loop.
     virtual std::string on_control_call(const ControlCall& call) = 0;
 
    protected:
@@ -25,26 +27,26 @@
 
   ControlServer(event_base* base, const TimeSource& clock, Handler& handler);
   ~ControlServer();
-  /// False with the reason in `error`.
+  /// Returns false and sets `error` on failure.
   bool listen(const sockaddr_in& address, std::string& error);
   std::uint16_t port() const;
 
  private:
   struct Connection {
-    ControlServer* side;
+    ControlServer* server;
     Fd fd;
     EventPtr read, write;
-    Micros since;
+    Micros accepted_at;
     std::string in, out;
     bool answered = false;
-    std::list<Connection>::iterator at;
+    std::list<Connection>::iterator position;
   };
   static void on_accept(evutil_socket_t, short, void* self);
   static void on_event(evutil_socket_t, short what, void* connection);
   static void on_sweep(evutil_socket_t, short, void* self);
-  void accept_some();
+  void accept_pending();
   void read(Connection& c);
-  /// True while the connection is still there.
+  /// Returns false if the connection was closed.
   bool write(Connection& c);
 
   event_base* base_;
--- a/src/control/handover.cpp
+++ b/src/control/handover.cpp
@@ -13,15 +13,15 @@
 namespace arrowfork {
 namespace {
 
-// In every hello, so that processes of other forms refuse one another and fall back to listening
-// side by side.
+// Part of every hello. Versions of the program with another protocol refuse it, and both processes
+// then listen side by side.
 constexpr char kHello[] = "H1";
-constexpr char kListener = 'L', kTake = 'T', kClient = 'C', kHeld = 'U';
-constexpr int kAnswerMs = 1000;
-// What Linux lets a socket without privileges hold by default (net.core.wmem_max, counted twice),
-// less what it takes for itself. A list beyond this, or beyond what this system allows, is not
-// handed over; the successor asks discovery.
-constexpr std::size_t kMostMessage = 384u << 10;
+constexpr char kListener = 'L', kAccepting = 'T', kClient = 'C', kHeldDescriptors = 'U';
+constexpr int kAnswerTimeoutMs = 1000;
+// What Linux lets an unprivileged socket buffer by default (net.core.wmem_max, counted twice), less
+// its own overhead. A list beyond this, or beyond the limit of this system, is not handed over; the
+// successor asks discovery.
+constexpr std::size_t kMaxMessageBytes = 384u << 10;
 
 Fd unix_socket(const std::string& path, sockaddr_un& address) {
   address = {};
@@ -31,16 +31,16 @@
   return Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-/// Sends one message, with a descriptor where `fd` is one.
+/// Sends one message, with the descriptor `fd` unless that is negative.
 bool send_message(int to, const std::string& text, int fd = -1) {
   iovec part{const_cast<char*>(text.data()), text.size()};
   msghdr m{};
   m.msg_iov = &part;
   m.msg_iovlen = 1;
-  alignas(cmsghdr) char room[CMSG_SPACE(sizeof(int))] = {};
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
   if (fd >= 0) {
-    m.msg_control = room;
-    m.msg_controllen = sizeof room;
+    m.msg_control = control;
+    m.msg_controllen = sizeof control;
     cmsghdr* c = CMSG_FIRSTHDR(&m);
     c->cmsg_level = SOL_SOCKET;
     c->cmsg_type = SCM_RIGHTS;
@@ -55,22 +55,22 @@
 
 enum class Received { Message, Nothing, End };
 Received receive(int from, std::string& text, Fd& fd) {
-  text.resize(kMostMessage);
+  text.resize(kMaxMessageBytes);
   iovec part{text.data(), text.size()};
   msghdr m{};
   m.msg_iov = &part;
   m.msg_iovlen = 1;
-  alignas(cmsghdr) char room[CMSG_SPACE(sizeof(int))] = {};
-  m.msg_control = room;
-  m.msg_controllen = sizeof room;
+  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
+  m.msg_control = control;
+  m.msg_controllen = sizeof control;
   ssize_t got = ::recvmsg(from, &m, MSG_CMSG_CLOEXEC);
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
     return Received::Nothing;
   for (cmsghdr* c = CMSG_FIRSTHDR(&m); got >= 0 && c; c = CMSG_NXTHDR(&m, c))
     if (c->cmsg_level == SOL_SOCKET && c->cmsg_type == SCM_RIGHTS) {
-      int one = -1;
-      std::memcpy(&one, CMSG_DATA(c), sizeof one);
-      fd.reset(one);
+      int received = -1;
+      std::memcpy(&received, CMSG_DATA(c), sizeof received);
+      fd.reset(received);
     }
   if (got <= 0) return Received::End;
   text.resize(static_cast<std::size_t>(got));
@@ -95,7 +95,7 @@
     return inherited;
   pollfd wait{fd.get(), POLLIN, 0};
   std::string text;
-  if (::poll(&wait, 1, kAnswerMs) != 1 ||
+  if (::poll(&wait, 1, kAnswerTimeoutMs) != 1 ||
       receive(fd.get(), text, inherited.listener) != Received::Message || text[0] != kListener ||
       !inherited.listener) {
     inherited.listener.reset();
@@ -122,7 +122,7 @@
                    path_.c_str());
     return;
   }
-  ::unlink(path_.c_str());  // of a process that was killed
+  ::unlink(path_.c_str());  // left by a process that was killed
   if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd.get(), 1) != 0) {
     std::fprintf(stderr, "arrowfork: no handover to a new version: %s: %s\n", path_.c_str(),
@@ -130,16 +130,16 @@
     return;
   }
   bound_ = true;
-  waiting_ = std::move(fd);
-  accept_event_.reset(event_new(base_, waiting_.get(), EV_READ | EV_PERSIST, on_accept, this));
+  listening_ = std::move(fd);
+  accept_event_.reset(event_new(base_, listening_.get(), EV_READ | EV_PERSIST, on_accept, this));
   event_add(accept_event_.get(), nullptr);
 }
 
 void Handover::on_accept(evutil_socket_t, short, void* self) {
   auto* h = static_cast<Handover*>(self);
-  Fd fd(::accept4(h->waiting_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (!fd || h->successor_) return;  // one at a time: a third process listens for itself
-  int size = kMostMessage;
+  Fd fd(::accept4(h->listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  if (!fd || h->successor_) return;  // only one successor at a time
+  int size = kMaxMessageBytes;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_SNDBUF, &size, sizeof size);
   h->successor_ = std::move(fd);
   h->successor_event_.reset(
@@ -156,26 +156,26 @@
   if (got == Received::Message && text == kHello) {
     std::string list = h->handler_.server_list();
     int listener = h->handler_.listening_socket();
-    if (1 + list.size() > kMostMessage) list.clear();
+    if (1 + list.size() > kMaxMessageBytes) list.clear();
     if (listener >= 0 && (send_message(h->successor_.get(), kListener + list, listener) ||
                           (errno == EMSGSIZE &&
                            send_message(h->successor_.get(), std::string(1, kListener), listener))))
       return;
-  } else if (got == Received::Message && text[0] == kTake) {
-    if (!std::exchange(h->taken_, true)) h->handler_.on_successor_ready();
+  } else if (got == Received::Message && text[0] == kAccepting) {
+    if (!std::exchange(h->successor_accepts_, true)) h->handler_.on_successor_ready();
     return;
   }
-  h->lose_successor();
+  h->drop_successor();
 }
 
-void Handover::lose_successor() {
+void Handover::drop_successor() {
   successor_event_.reset();
   successor_.reset();
-  if (std::exchange(taken_, false)) handler_.on_successor_lost();
+  if (std::exchange(successor_accepts_, false)) handler_.on_successor_lost();
 }
 
 void Handover::announce_accepting() {
-  if (predecessor_) send_message(predecessor_.get(), std::string(1, kTake));
+  if (predecessor_) send_message(predecessor_.get(), std::string(1, kAccepting));
 }
 
 void Handover::on_predecessor_event(evutil_socket_t, short, void* self) {
@@ -194,7 +194,7 @@
     }
     if (text[0] == kClient && fd) h->handler_.on_client_handed_over(std::move(fd));
     std::size_t held = 0;
-    if (text[0] == kHeld &&
+    if (text[0] == kHeldDescriptors &&
         std::from_chars(text.data() + 1, text.data() + text.size(), held).ec == std::errc())
       h->handler_.on_predecessor_descriptors(held);
   }
@@ -203,14 +203,15 @@
 Handover::HandOverResult Handover::hand_over_client(int client) {
   if (!has_successor()) return HandOverResult::NotSent;
   if (send_message(successor_.get(), std::string(1, kClient), client)) return HandOverResult::Sent;
-  // A full buffer, or as many descriptors on their way as one user may have.
+  // The buffer is full, or the user has too many descriptors in flight.
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == ETOOMANYREFS
              ? HandOverResult::RetryLater
              : HandOverResult::NotSent;
 }
 
 void Handover::report_held_descriptors(std::size_t descriptors) {
-  if (has_successor()) send_message(successor_.get(), kHeld + std::to_string(descriptors));
+  if (has_successor())
+    send_message(successor_.get(), kHeldDescriptors + std::to_string(descriptors));
 }
 
 }  // namespace arrowfork
--- a/src/control/handover.hpp
+++ b/src/control/handover.hpp
@@ -1,6 +1,6 @@
-// A new process takes over from a running one: the listening socket first, then each client
-// connection between two requests. Over a unix socket of whole messages (unix(7), SOCK_SEQPACKET,
-// SCM_RIGHTS); each begins with a letter.
+// Handover from a running process to a new one: first the listening socket, then each client
+// connection between two requests. Uses a unix socket that keeps message boundaries (unix(7),
+// SOCK_SEQPACKET, SCM_RIGHTS); the first letter of a message is its type.
 #pragma once
 
 #include <functional>
@@ -10,20 +10,21 @@
 
 namespace arrowfork {
 
-/// Either end of a handover; a process is first the successor of another, then waits for its own.
-/// A process that ends, however it ends, ends its part: the other one sees that and goes on alone.
+/// Both ends of a handover: a process is first the successor of a running one, then the predecessor
+/// of the next. However a process ends, the other one sees its socket close and goes on alone.
 class Handover {
  public:
   class Handler {
    public:
-    /// Asked of the running process: what it listens on (-1: nothing), and its list of servers.
+    /// Asked of the predecessor: its listening socket (-1: none) and its list of servers.
     virtual int listening_socket() = 0;
     virtual std::string server_list() = 0;
-    /// The successor accepts clients from now on; lost before the planned end: it does no more.
+    /// Called on the predecessor: the successor accepts clients from now on; or it has ended before
+    /// this process did.
     virtual void on_successor_ready() = 0;
     virtual void on_successor_lost() = 0;
-    /// Told to the successor: a client's connection, how many descriptors the predecessor still
-    /// holds, and that it has ended.
+    /// Called on the successor: a client connection was handed over; how many descriptors the
+    /// predecessor still holds; the predecessor has ended.
     virtual void on_client_handed_over(Fd&& client) = 0;
     virtual void on_predecessor_descriptors(std::size_t descriptors) = 0;
     virtual void on_predecessor_gone() = 0;
@@ -35,25 +36,25 @@
   Handover(event_base* base, std::string path, Handler& handler);
   ~Handover();
 
-  /// What a running process at the path has given.
+  /// Received from the running process at the path.
   struct Inherited {
     Fd listener;
     std::string list;
   };
-  /// Asks a running process for its listener; nothing where there is none, or where it does not
-  /// answer within a second. Waits for that: call it before anything is served.
+  /// Asks a running process for its listener; empty if there is none, or if it does not answer
+  /// within a second. Blocks for that time, so call it before anything is served.
   Inherited request_listener();
-  /// Waits for a successor at the path, at once or as soon as the predecessor has ended.
+  /// Listens for a successor at the path, from now on or once the predecessor has ended.
   void listen_for_successor();
-  /// As a successor: clients are accepted here from now on.
+  /// Tells the predecessor that this process accepts clients from now on.
   void announce_accepting();
   bool has_predecessor() const { return static_cast<bool>(predecessor_); }
-  bool has_successor() const { return taken_ && successor_; }
+  bool has_successor() const { return successor_accepts_ && successor_; }
 
   enum class HandOverResult { Sent, RetryLater, NotSent };
-  /// Passes a client's connection on.
+  /// Sends a client's connection to the successor.
   HandOverResult hand_over_client(int client);
-  /// Tells the successor how many descriptors are held here.
+  /// Tells the successor how many descriptors this process holds.
   void report_held_descriptors(std::size_t descriptors);
 
  private:
@@ -61,15 +62,15 @@
   static void on_successor_event(evutil_socket_t, short, void* self);
   static void on_predecessor_event(evutil_socket_t, short, void* self);
   void bind();
-  void lose_successor();
+  void drop_successor();
 
   event_base* base_;
   std::string path_;
   Handler& handler_;
-  Fd waiting_, successor_, predecessor_;
+  Fd listening_, successor_, predecessor_;
   EventPtr accept_event_, successor_event_, predecessor_event_;
-  bool bound_ = false;  // the path is ours
-  bool taken_ = false;  // the successor has said that it accepts
+  bool bound_ = false;              // the socket at the path is this process's
+  bool successor_accepts_ = false;  // the successor has announced that it accepts clients
 };
 
 }  // namespace arrowfork
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -9,26 +9,29 @@
 namespace arrowfork {
 namespace {
 
-// An answer that has begun is whole this soon, or will not be: a list is written at once, and of a
-// watch that stops short in it the change counts as told 6 s later, whatever its wait (seen:
-// calm+disco+brink+mass 10, an answer that stopped at 3.25 s, drains broken from 10.13 s on).
-constexpr Micros kAnswerTime = 1500 * kMillisecond;
-// After that it is heard out for so long, beside other calls.
-constexpr Micros kStalledTime = 4 * kSecond;
-// A sixteenth of the smallest deployment's 32 MB: as JSON in memory a list takes several times its
+// An answer that has started must be complete within this time, else it counts as stalled:
+// discovery writes a list at once, and a change in an answer that stalls counts as notified 6 s
+// later, however long the watch may wait. (Seen in calm+disco+brink+mass 10: an answer stalled at
+// 3.25 s, and sends to the draining server broke the rule from 10.13 s on.)
+constexpr Micros kAnswerTimeout = 1500 * kMillisecond;
+// A stalled answer may still complete for this time, beside other calls.
+constexpr Micros kStalledAnswerTime = 4 * kSecond;
+// A sixteenth of the smallest deployment's 32 MB: parsed JSON takes several times the memory of its
 // text. 1,024 servers with ids and addresses of 250 characters, indented, are 0.8 MB; of usual
 // length 0.3 MB.
-constexpr ev_ssize_t kMaxBody = 2 << 20;
-constexpr ev_ssize_t kMaxHeaders = 16 << 10;
+constexpr ev_ssize_t kMaxBodyBytes = 2 << 20;
+constexpr ev_ssize_t kMaxHeaderBytes = 16 << 10;
 
-// Lines about calls: what a restart or an outage brings in its first seconds, then one a second.
-constexpr double kCallLines = 40, kCallLinesPerSecond = 1;
+// Log lines about calls: a burst for the first seconds of a restart or an outage, then one a
+// second.
+constexpr double kCallLogBurst = 40, kCallLogLinesPerSecond = 1;
 
 }  // namespace
 
-DiscoveryCall::DiscoveryCall(event_base* base, const TimeSource& clock, Counts& counts, Done done)
-    : base_(base), clock_(clock), counts_(counts), done_(std::move(done)) {
-  ready_.reset(event_new(base, -1, 0, on_ready, this));
+DiscoveryCall::DiscoveryCall(event_base* base, const TimeSource& clock, Counts& counts,
+                             Callback done)
+    : base_(base), clock_(clock), counts_(counts), callback_(std::move(done)) {
+  ready_.reset(event_new(base, -1, 0, on_result_or_timeout, this));
 }
 
 DiscoveryCall::~DiscoveryCall() = default;
@@ -47,8 +50,8 @@
   const std::string host = call.address.substr(0, call.address.rfind(':'));
   auto parsed = parse_address(call.address);
   std::uint16_t port = parsed ? ntohs(parsed->sin_port) : 0;
-  fault_ = CallFailure::Refused;
-  begun_ = stalled_ = false;
+  failure_ = CallFailure::Refused;
+  answer_started_ = stalled_ = false;
   trace_ = {call.path, clock_.now(), 0, 0};
   ++counts_.calls;
   connection_.reset(evhttp_connection_base_new(base_, nullptr, host.c_str(), port));
@@ -59,12 +62,12 @@
     return;
   }
   evhttp_request_set_error_cb(request, on_error);
-  evhttp_connection_set_max_body_size(connection_.get(), kMaxBody);
-  evhttp_connection_set_max_headers_size(connection_.get(), kMaxHeaders);
-  limit_ = call.timeout;
+  evhttp_connection_set_max_body_size(connection_.get(), kMaxBodyBytes);
+  evhttp_connection_set_max_headers_size(connection_.get(), kMaxHeaderBytes);
+  timeout_ = call.timeout;
   evbuffer_add_cb(bufferevent_get_input(evhttp_connection_get_bufferevent(connection_.get())),
-                  on_bytes, this);
-  // For the whole call: evhttp's own time-outs begin again with every byte that trickles in.
+                  on_answer_bytes, this);
+  // For the whole call: evhttp's own timeouts start anew with every byte.
   timeval limit_tv = timeval_of(call.timeout);
   event_add(ready_.get(), &limit_tv);
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
@@ -74,12 +77,12 @@
     event_active(ready_.get(), 0, 0);
 }
 
-/// The answer's first bytes: its time is another from here on.
-void DiscoveryCall::on_bytes(evbuffer*, const evbuffer_cb_info* info, void* self) {
+/// From the first bytes of the answer on, the answer timeout applies.
+void DiscoveryCall::on_answer_bytes(evbuffer*, const evbuffer_cb_info* info, void* self) {
   auto* call = static_cast<DiscoveryCall*>(self);
-  if (info->n_added == 0 || std::exchange(call->begun_, true)) return;
+  if (info->n_added == 0 || std::exchange(call->answer_started_, true)) return;
   call->trace_.first_byte = call->clock_.now();
-  timeval limit = timeval_of(std::min(call->limit_, kAnswerTime));
+  timeval limit = timeval_of(std::min(call->timeout_, kAnswerTimeout));
   event_add(call->ready_.get(), &limit);
 }
 
@@ -96,103 +99,107 @@
     try {
       call->result_ = parse_answer(text);
     } catch (const ConfigError& e) {
-      call->bad(e.what());
+      call->record_invalid_answer(e.what());
     }
   }
   event_active(call->ready_.get(), 0, 0);
 }
 
-void DiscoveryCall::bad(const char* what) {
+void DiscoveryCall::record_invalid_answer(const char* reason) {
   ++counts_.invalid;
-  fault_ = CallFailure::Malformed;
-  std::fprintf(stderr, "arrowfork: discovery %s: %s\n", authority_.c_str(), what);
+  failure_ = CallFailure::Malformed;
+  std::fprintf(stderr, "arrowfork: discovery %s: %s\n", authority_.c_str(), reason);
 }
 
-/// Before on_answer, which then has no request. What could not be reached, or was too slow, is no
-/// bad answer.
+/// Called before on_answer, which then gets no request. Connection failures and timeouts do not
+/// count as invalid answers.
 void DiscoveryCall::on_error(evhttp_request_error error, void* self) {
   auto* call = static_cast<DiscoveryCall*>(self);
-  // Ended without a word is one of discovery's ways to turn a call away.
-  bool begun = call->request_ && evhttp_request_get_response_code(call->request_) != 0;
-  if (error == EVREQ_HTTP_EOF && begun) call->bad("the answer broke off");
-  if (error == EVREQ_HTTP_INVALID_HEADER) call->bad("the answer's head can't be read");
-  if (error == EVREQ_HTTP_DATA_TOO_LONG) call->bad("an answer without end");
+  // Discovery may reject a call by closing the connection without an answer.
+  bool answer_started = call->request_ && evhttp_request_get_response_code(call->request_) != 0;
+  if (error == EVREQ_HTTP_EOF && answer_started)
+    call->record_invalid_answer("the connection was closed before the answer was complete");
+  if (error == EVREQ_HTTP_INVALID_HEADER) call->record_invalid_answer("invalid HTTP response head");
+  if (error == EVREQ_HTTP_DATA_TOO_LONG) call->record_invalid_answer("the answer is too large");
 }
 
-/// A server that writes slowly may go on: whoever waits is told, and the answer is taken if it
-/// comes.
-void DiscoveryCall::stall() {
+/// Reports the failure, but keeps the call: a server that writes slowly may still complete its
+/// answer, which is then used.
+void DiscoveryCall::on_stalled() {
   stalled_ = true;
-  bad("the answer stopped short");
+  record_invalid_answer("the answer stalled before it was complete");
   ++counts_.failed;
-  timeval rest = timeval_of(kStalledTime);
+  timeval rest = timeval_of(kStalledAnswerTime);
   event_add(ready_.get(), &rest);
-  done_(id_, {std::nullopt, fault_, true});
+  callback_(id_, {std::nullopt, failure_, true});
 }
 
-void DiscoveryCall::on_ready(evutil_socket_t, short what, void* self) {
+void DiscoveryCall::on_result_or_timeout(evutil_socket_t, short what, void* self) {
   auto* call = static_cast<DiscoveryCall*>(self);
-  if ((what & EV_TIMEOUT) && call->begun_ && !call->stalled_) {
-    call->stall();
+  if ((what & EV_TIMEOUT) && call->answer_started_ && !call->stalled_) {
+    call->on_stalled();
     return;
   }
   if (what & EV_TIMEOUT) {
-    call->fault_ = CallFailure::TimedOut;
+    call->failure_ = CallFailure::TimedOut;
     call->counts_.timed_out += !call->stalled_;
   }
   call->connection_.reset();
   call->request_ = nullptr;
   std::optional<HostList> result = std::exchange(call->result_, std::nullopt);
   call->counts_.failed += !result && !call->stalled_;
-  call->done_(call->id_, {std::move(result), call->fault_});
+  call->callback_(call->id_, {std::move(result), call->failure_});
 }
 
 Discovery::Discovery(event_base* base, const TimeSource& clock, const std::string& address,
                      const HostList& known, const ListSubscription::Options& options,
                      Handler& handler)
-    : base_(base), clock_(clock), handler_(handler), call_lines_(kCallLines, kCallLinesPerSecond) {
-  due_.reset(event_new(base, -1, 0, on_due, this));
+    : base_(base),
+      clock_(clock),
+      handler_(handler),
+      call_log_limit_(kCallLogBurst, kCallLogLinesPerSecond) {
+  timer_.reset(event_new(base, -1, 0, on_timer, this));
   subscription_ = std::make_unique<ListSubscription>(
       address, known, options, clock_.now(), static_cast<ListTransport&>(*this),
       static_cast<ListSubscription::Handler&>(*this));
-  arm();
+  schedule_timer();
 }
 
 Discovery::~Discovery() = default;
 
-void Discovery::move_to(const std::string& address) {
+void Discovery::change_address(const std::string& address) {
   subscription_->change_address(address, clock_.now());
-  arm();
+  schedule_timer();
 }
 
 void Discovery::watch() {
   subscription_->watch(clock_.now());
-  arm();
+  schedule_timer();
 }
 
-void Discovery::look_again(Micros span) {
+void Discovery::poll_within(Micros span) {
   subscription_->poll_within(clock_.now(), span);
-  arm();
+  schedule_timer();
 }
 
-void Discovery::fetch() {
+void Discovery::fetch_full_list() {
   subscription_->fetch_full_list(clock_.now());
-  arm();
+  schedule_timer();
 }
 
 void Discovery::stop() {
   subscription_->stop();
-  arm();
+  schedule_timer();
 }
 
 void Discovery::start(const ListCall& call) {
   auto free =
-      std::find_if(calls_.begin(), calls_.end(), [](const auto& one) { return !one->in_flight(); });
+      std::find_if(calls_.begin(), calls_.end(), [](const auto& c) { return !c->in_flight(); });
   if (free == calls_.end()) {
     auto done = [this](int id, ListResult result) {
-      log_end(id, result);
+      log_ended_call(id, result);
       subscription_->on_call_ended(id, std::move(result), clock_.now());
-      arm();
+      schedule_timer();
     };
     calls_.push_back(std::make_unique<DiscoveryCall>(base_, clock_, counts_, done));
     free = calls_.end() - 1;
@@ -209,8 +216,8 @@
   }
 }
 
-void Discovery::log_end(int id, const ListResult& result) {
-  auto of_id = [id](const auto& one) { return one->id() == id; };
+void Discovery::log_ended_call(int id, const ListResult& result) {
+  auto of_id = [id](const auto& call) { return call->id() == id; };
   auto call = std::find_if(calls_.begin(), calls_.end(), of_id);
   if (call == calls_.end()) return;
   const HostList* list = result.list ? &*result.list : nullptr;
@@ -219,7 +226,7 @@
 
 void Discovery::log_call(const DiscoveryCall& call, const char* end, const HostList* list) {
   Micros now = clock_.now();
-  if (!call_lines_.allow(now)) return;
+  if (!call_log_limit_.allow(now)) return;
   const DiscoveryCall::Trace& trace = call.trace();
   std::string query = trace.path.substr(std::min(trace.path.find('?'), trace.path.size()));
   std::string text = "call=" + std::to_string(call.id()) + " query=" + query + " end=" + end;
@@ -228,40 +235,41 @@
     text += " first_byte_ms=" + std::to_string((trace.first_byte - trace.started) / kMillisecond);
   if (trace.status != 0) text += " status=" + std::to_string(trace.status);
   if (list) {
-    auto leaves = [](const Host& h) { return h.server.health != robinseam::Health::Ready; };
+    auto is_leaving = [](const Host& h) { return h.server.health != robinseam::Health::Ready; };
     text += " seq=" + list->version + (list->full ? " whole=" : " changed=") +
             std::to_string(list->hosts.size()) + " leaving=" +
-            std::to_string(std::count_if(list->hosts.begin(), list->hosts.end(), leaves));
+            std::to_string(std::count_if(list->hosts.begin(), list->hosts.end(), is_leaving));
   }
-  if (auto missing = call_lines_.take_suppressed())
-    text += " suppressed=" + std::to_string(missing);
+  if (auto suppressed = call_log_limit_.take_suppressed())
+    text += " suppressed=" + std::to_string(suppressed);
   std::fprintf(stderr, "arrowfork: discovery: %s\n", text.c_str());
 }
 
 void Discovery::on_hosts(HostList&& list) {
-  refused_for_.clear();
+  last_rejection_reason_.clear();
   handler_.on_hosts(std::move(list));
 }
 
 void Discovery::on_list_rejected(const std::string& reason) {
   ++counts_.failed, ++counts_.invalid;
-  if (refused_for_ != reason)
-    std::fprintf(stderr, "arrowfork: discovery: the held list stays: %s\n", reason.c_str());
-  refused_for_ = reason;
+  if (last_rejection_reason_ != reason)
+    std::fprintf(stderr, "arrowfork: discovery: list rejected, keeping the current one: %s\n",
+                 reason.c_str());
+  last_rejection_reason_ = reason;
 }
 
-void Discovery::arm() {
-  event_del(due_.get());
+void Discovery::schedule_timer() {
+  event_del(timer_.get());
   Micros next = subscription_->next();
   if (next == ListSubscription::CallSchedule::kNever) return;
   timeval wait = timeval_of(std::max<Micros>(0, next - clock_.now()));
-  event_add(due_.get(), &wait);
+  event_add(timer_.get(), &wait);
 }
 
-void Discovery::on_due(evutil_socket_t, short, void* self) {
+void Discovery::on_timer(evutil_socket_t, short, void* self) {
   auto* discovery = static_cast<Discovery*>(self);
   discovery->subscription_->advance(discovery->clock_.now());
-  discovery->arm();
+  discovery->schedule_timer();
 }
 
 }  // namespace arrowfork
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,4 +1,4 @@
-// Discovery over HTTP on the event loop: the shell of membership/list_subscription.
+// Calls discovery over HTTP on the event loop, as membership/list_subscription decides.
 #pragma once
 
 #include <event2/buffer.h>
@@ -18,35 +18,33 @@
 
 namespace arrowfork {
 
-/// One HTTP call at a time.
+/// Makes HTTP calls on discovery, one at a time.
 class DiscoveryCall {
  public:
-  /// Gets the list, or nothing where the call failed in any way.
-  using Done = std::function<void(int id, ListResult result)>;
+  /// Called with the list, or with the failure of the call.
+  using Callback = std::function<void(int id, ListResult result)>;
   using CallFailure = robinseam::membership::CallFailure;
-  /// Counts since the start, for the log.
+  /// Counts since the process started, for the log.
   struct Counts {
     std::uint64_t calls = 0, failed = 0;
-    std::uint64_t invalid =
-        0;  ///< of the failed, those that brought what is no list or may not count
-    std::uint64_t timed_out = 0;  ///< of the failed, those of which nothing was heard
-    std::uint64_t cancelled = 0;  ///< given up before their time was over
+    std::uint64_t invalid = 0;    ///< of failed: answered without a list that can be applied
+    std::uint64_t timed_out = 0;  ///< of failed: no answer in time
+    std::uint64_t cancelled = 0;  ///< before their timeout
   };
-  /// What was seen of a call, for the log.
+  /// The course of a call, for the log.
   struct Trace {
     std::string path;
     Micros started = 0;
-    Micros first_byte = 0;  ///< 0: none has come
-    int status = 0;         ///< of HTTP; 0: no head has come
+    Micros first_byte = 0;  ///< 0: none received
+    int status = 0;         ///< HTTP status; 0: no response head received
   };
-  DiscoveryCall(event_base* base, const TimeSource& clock, Counts& counts, Done done);
+  DiscoveryCall(event_base* base, const TimeSource& clock, Counts& counts, Callback done);
   ~DiscoveryCall();
   DiscoveryCall(const DiscoveryCall&) = delete;
   DiscoveryCall& operator=(const DiscoveryCall&) = delete;
-  /// Starts a call; one that is under way is dropped.
+  /// Starts a call; drops one that is in flight.
   void start(const ListCall& call);
   void stop();
-  /// A call is under way.
   bool in_flight() const { return connection_ != nullptr; }
   int id() const { return id_; }
   const Trace& trace() const { return trace_; }
@@ -54,12 +52,12 @@
  private:
   static void on_answer(evhttp_request* request, void* self);
   static void on_error(evhttp_request_error error, void* self);
-  void bad(const char* what);
-  void stall();
-  static void on_ready(evutil_socket_t, short, void* self);
-  static void on_bytes(evbuffer* input, const evbuffer_cb_info* info, void* self);
+  void record_invalid_answer(const char* reason);
+  void on_stalled();
+  static void on_result_or_timeout(evutil_socket_t, short, void* self);
+  static void on_answer_bytes(evbuffer* input, const evbuffer_cb_info* info, void* self);
 
-  struct ConnectionFree {
+  struct ConnectionDeleter {
     void operator()(evhttp_connection* c) const { evhttp_connection_free(c); }
   };
   event_base* base_;
@@ -67,42 +65,44 @@
   std::string authority_;
   Trace trace_;
   Counts& counts_;
-  Done done_;
-  std::unique_ptr<evhttp_connection, ConnectionFree> connection_;
-  evhttp_request* request_ = nullptr;  // under way; the connection's own
-  EventPtr ready_;                     // the result is handed on outside of evhttp's own call
+  Callback callback_;
+  std::unique_ptr<evhttp_connection, ConnectionDeleter> connection_;
+  evhttp_request* request_ = nullptr;  // in flight; owned by the connection
+  EventPtr ready_;                     // calls back outside of the evhttp callback
   std::optional<HostList> result_;
-  CallFailure fault_ = CallFailure::Refused;
-  Micros limit_ = 0;
+  CallFailure failure_ = CallFailure::Refused;
+  Micros timeout_ = 0;
   int id_ = 0;
-  bool begun_ = false;    // the answer has
-  bool stalled_ = false;  // and has stopped short; that was told
+  bool answer_started_ = false;  // the first bytes have been received
+  bool stalled_ = false;         // the answer has stalled, and that was reported
 };
 
-/// Carries a subscription's calls over HTTP and its times on the event loop.
+/// Connects a ListSubscription to HTTP calls and to a timer of the event loop.
 class Discovery final : ListTransport, ListSubscription::Handler {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
     virtual void on_hosts(HostList&& list) = 0;
-    /// An answer that may not change the list tells of servers that leave; see extract_drains().
+    /// An answer that can't be applied as a list names servers that drain or leave; see
+    /// extract_drains().
     virtual void on_drains(const HostList& list, bool drain_unlisted) = 0;
-    /// Any call; the next one may be under way already.
+    /// Some call has failed; the next one may already be in flight.
     virtual void on_call_failed() = 0;
-    /// None is out: the next one is planned, and the handler may call sooner.
+    /// A call has failed and none is in flight. The next one is planned; the handler may call
+    /// sooner.
     virtual void on_hosts_failed() = 0;
   };
-  /// `known`: the list that is held.
+  /// `known`: the current list.
   Discovery(event_base* base, const TimeSource& clock, const std::string& address,
             const HostList& known, const ListSubscription::Options& options, Handler& handler);
   ~Discovery() override;
-  /// These are the subscription's.
-  void move_to(const std::string& address);
+  // Forwarded to the subscription.
+  void change_address(const std::string& address);
   void watch();
   bool planned() const { return subscription_->planned(); }
-  void look_again(Micros span);
-  void fetch();
+  void poll_within(Micros span);
+  void fetch_full_list();
   void stop();
   const std::string& version() const { return subscription_->version(); }
   bool overdue() const { return subscription_->overdue(clock_.now()); }
@@ -122,24 +122,23 @@
   void on_drains(const HostList& list, bool drain_unlisted) override {
     handler_.on_drains(list, drain_unlisted);
   }
-  void log_end(int id, const ListResult& result);
-  /// One line for a call that has ended or was given up. `list`: its answer.
+  void log_ended_call(int id, const ListResult& result);
+  /// Logs a call that has ended or was cancelled. `list`: its answer, may be null.
   void log_call(const DiscoveryCall& call, const char* end, const HostList* list);
-  /// Sets the timer to the subscription's next time.
-  void arm();
-  static void on_due(evutil_socket_t, short, void* self);
+  /// Sets the timer for the subscription's next call.
+  void schedule_timer();
+  static void on_timer(evutil_socket_t, short, void* self);
 
   event_base* base_;
   const TimeSource& clock_;
   Handler& handler_;
   DiscoveryCall::Counts counts_;
-  /// Used again once their call has ended, and never freed before: one of them may be what tells of
-  /// its end.
+  /// Reused once their call has ended. Never freed before: the callback may come from one of them.
   std::vector<std::unique_ptr<DiscoveryCall>> calls_;
-  EventPtr due_;
-  LogLimit call_lines_;
-  std::string refused_for_;  // the reason that was logged last, until a list is taken
-  std::unique_ptr<ListSubscription> subscription_;  // last: it makes calls as it begins
+  EventPtr timer_;
+  LogLimit call_log_limit_;
+  std::string last_rejection_reason_;               // last one logged; cleared by an applied list
+  std::unique_ptr<ListSubscription> subscription_;  // last: its constructor starts calls
 };
 
 }  // namespace arrowfork
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -221,7 +221,7 @@
   servers_.set_protocols(config_.binary);
   if (next.discovery != config_.discovery) {
     config_.discovery = next.discovery;
-    discovery_.move_to(next.discovery);
+    discovery_.change_address(next.discovery);
   }
   ++reloads_ok_;
   std::fprintf(stderr, "arrowfork: reloaded: discovery %s\n", config_.discovery.c_str());
@@ -360,7 +360,7 @@
   // process may have stopped the whole tier, so within the time that a tier's calls need.
   r->recovery_.stood_still(now);
   robinseam::recovery::Asking asking(r->config_.settings.routers, r->config_.settings.ask_within);
-  r->discovery_.look_again(asking.first(1));
+  r->discovery_.poll_within(asking.first(1));
   std::fprintf(stderr, "arrowfork: the process stood still; discovery is asked anew\n");
 }
 
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -75,7 +75,7 @@
   void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
   // Lister
   void watch() override;
-  void fetch() override { discovery_.fetch(); }
+  void fetch() override { discovery_.fetch_full_list(); }
 
   // ControlServer::Handler
   std::string on_control_call(const ControlCall& call) override;
