--- a/tests/faults/system_calls.hpp
+++ b/tests/faults/system_calls.hpp
@@ -1,5 +1,6 @@
-// System calls that fail as Linux documents, for tests: this program's own definitions of the calls
-// come before the C library's, also for libevent. Only in the test program that links them.
+// Injects failures into system calls, with the errors that Linux documents. The test program's own
+// definitions of the calls take precedence over the C library's, also for libevent. Only for the
+// test program that links them.
 #pragma once
 
 #include <array>
@@ -9,23 +10,23 @@
 namespace arrowfork::test {
 
 enum class Call { Socket, Connect, Accept, Read, Write, Wait };
-constexpr std::size_t kCalls = 6;
+constexpr std::size_t kCallKinds = 6;
 
-/// What the calls of this thread do from now on; other threads are left alone.
+/// Makes system calls of the current thread fail while it exists; other threads are not affected.
 class SystemCallFaults {
  public:
-  /// Each call of a kind fails with this chance, with one of its documented errors; reads and
-  /// writes may come short instead.
+  /// Each call of a kind fails with the given probability and one of its documented errors; reads
+  /// and writes may be short instead.
   struct Plan {
-    std::array<double, kCalls> chance{};
+    std::array<double, kCallKinds> probability{};
     std::uint64_t seed = 1;
-    int only_error = 0;  ///< this error alone; 0: any of the kind's
+    int only_error = 0;  ///< only this error; 0: any documented one
   };
   explicit SystemCallFaults(const Plan& plan);
   ~SystemCallFaults();
   SystemCallFaults(const SystemCallFaults&) = delete;
   SystemCallFaults& operator=(const SystemCallFaults&) = delete;
-  /// Calls that were made to fail or come short.
+  /// Number of calls made to fail or to be short.
   std::uint64_t injected() const;
 };
 
--- a/tests/faults/system_calls_test.cpp
+++ b/tests/faults/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// Discovery and the router while system calls fail as Linux documents: a drain is known in time,
-// the listener lives, each request gets its answer, and nobody spins.
+// Discovery calls while system calls fail with documented errors: a drain becomes known in time,
+// failed calls are repeated, and the event loop does not spin.
 #include "system_calls.hpp"
 
 #include <atomic>
@@ -14,11 +14,11 @@
 namespace arrowfork::test {
 namespace {
 
-/// Discovery in a thread of its own, whose calls do not fail; server a drains after `drains_at`.
+/// Discovery in its own thread, where no calls fail; server "a" drains `drains_at` after the start.
 class DiscoveryThread {
  public:
   explicit DiscoveryThread(Micros drains_at) : drains_at_(drains_at) {
-    std::signal(SIGPIPE, SIG_IGN);  // as the router has it
+    std::signal(SIGPIPE, SIG_IGN);  // as the router does
     thread_ = std::thread([this] { run(); });
     while (port_ == 0) std::this_thread::yield();
   }
@@ -56,8 +56,8 @@
   std::thread thread_;
 };
 
-struct Asking final : Discovery::Handler {
-  Asking(const std::string& address, bool pushed, std::uint64_t seed)
+struct DiscoveryFixture final : Discovery::Handler {
+  DiscoveryFixture(const std::string& address, bool pushed, std::uint64_t seed)
       : discovery(base.get(), clock, address, {}, {1, pushed, seed, 500 * kMillisecond}, *this) {
     if (!pushed) discovery.watch();
   }
@@ -75,31 +75,31 @@
   Discovery discovery;
 };
 
-TEST(SystemCalls, ADrainIsKnownWithin6SecondsWhateverFailsOnDiscoverysWay) {
-  constexpr Micros kFailing = 700 * kMillisecond, kDrains = 400 * kMillisecond;
+TEST(SystemCalls, ADrainIsKnownWithin6SecondsWhicheverCallsToDiscoveryFail) {
+  constexpr Micros kFaultTime = 700 * kMillisecond, kDrainAt = 400 * kMillisecond;
   for (bool pushed : {false, true})
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-      DiscoveryThread discovery(kDrains);
+      DiscoveryThread discovery(kDrainAt);
       SystemCallFaults::Plan plan;
-      plan.chance.fill(seed % 2 == 0 ? 0.15 : 0.5);
+      plan.probability.fill(seed % 2 == 0 ? 0.15 : 0.5);
       plan.seed = seed;
       auto faults = std::make_unique<SystemCallFaults>(plan);
-      Asking asking(discovery.address(), pushed, seed);
-      Micros began = asking.clock.now();
+      DiscoveryFixture fixture(discovery.address(), pushed, seed);
+      Micros began = fixture.clock.now();
       std::uint64_t turns = 0;
-      while (!asking.drained && asking.clock.now() - began < kDrains + 6 * kSecond) {
-        event_base_loop(asking.base.get(), EVLOOP_ONCE);
+      while (!fixture.drained && fixture.clock.now() - began < kDrainAt + 6 * kSecond) {
+        event_base_loop(fixture.base.get(), EVLOOP_ONCE);
         ++turns;
-        if (faults && asking.clock.now() - began > kFailing) faults.reset();
+        if (faults && fixture.clock.now() - began > kFaultTime) faults.reset();
       }
-      EXPECT_TRUE(asking.drained) << (pushed ? "pushed " : "asked ") << seed;
+      EXPECT_TRUE(fixture.drained) << (pushed ? "pushed " : "polled ") << seed;
       EXPECT_LT(turns, 20'000u) << seed;
-      asking.discovery.stop();
+      fixture.discovery.stop();
     }
 }
 
-/// Each error of each kind, again and again.
-TEST(SystemCalls, EachErrorOfACallOnDiscoverysWayIsFollowedByAnotherCall) {
+/// Each error, with every call of its kind failing for a while.
+TEST(SystemCalls, EachErrorOfACallToDiscoveryIsFollowedByAnotherCall) {
   struct Case {
     Call call;
     int error;
@@ -113,18 +113,18 @@
   for (const Case& c : cases) {
     DiscoveryThread discovery(0);
     SystemCallFaults::Plan plan;
-    plan.chance[static_cast<std::size_t>(c.call)] = 1;
+    plan.probability[static_cast<std::size_t>(c.call)] = 1;
     plan.only_error = c.error;
     auto faults = std::make_unique<SystemCallFaults>(plan);
-    Asking asking(discovery.address(), true, 1);
-    while (faults->injected() < 4) event_base_loop(asking.base.get(), EVLOOP_ONCE);
-    EXPECT_FALSE(asking.drained) << c.error;
+    DiscoveryFixture fixture(discovery.address(), true, 1);
+    while (faults->injected() < 4) event_base_loop(fixture.base.get(), EVLOOP_ONCE);
+    EXPECT_FALSE(fixture.drained) << c.error;
     faults.reset();
-    Micros began = asking.clock.now();
-    while (!asking.drained && asking.clock.now() - began < 6 * kSecond)
-      event_base_loop(asking.base.get(), EVLOOP_ONCE);
-    EXPECT_TRUE(asking.drained) << static_cast<int>(c.call) << ' ' << std::strerror(c.error);
-    asking.discovery.stop();
+    Micros began = fixture.clock.now();
+    while (!fixture.drained && fixture.clock.now() - began < 6 * kSecond)
+      event_base_loop(fixture.base.get(), EVLOOP_ONCE);
+    EXPECT_TRUE(fixture.drained) << static_cast<int>(c.call) << ' ' << std::strerror(c.error);
+    fixture.discovery.stop();
   }
 }
 
--- a/tests/operations/handover_test.cpp
+++ b/tests/operations/handover_test.cpp
@@ -1,4 +1,4 @@
-// A new process beside the running one: no client is refused, reset or left unread.
+// Handover to a new process: no client is refused, reset or left without an answer.
 #include "../loopback.hpp"
 #include "temp_directory.hpp"
 
@@ -20,7 +20,7 @@
     c.state_dir = folder.path();
     return c;
   }
-  static void served(TestConnection& client, const std::string& id) {
+  static void expect_served(TestConnection& client, const std::string& id) {
     client.write(get(id));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
@@ -30,96 +30,101 @@
   ServingPeer other{[](const std::string& line) { return value_answer(id_of(line), "v"); }};
 };
 
-TEST_F(HandoverTest, ConnectionsBetweenRequestsGoOverAndStayOpen) {
-  RunningRouter old_one(config());
+TEST_F(HandoverTest, IdleConnectionsAreHandedOverAndStayOpen) {
+  RunningRouter predecessor(config());
   std::vector<TestConnection> clients;
   for (int k = 0; k < 40; ++k) {
-    clients.push_back(old_one.client());
-    if (k % 2) served(clients.back(), "a" + std::to_string(k));
+    clients.push_back(predecessor.client());
+    if (k % 2) expect_served(clients.back(), "a" + std::to_string(k));
   }
   ConfigText c = config();
-  c.hosts.clear();  // the running process has the list
-  RunningRouter new_one(c);
-  ASSERT_TRUE(ready(new_one));
-  EXPECT_EQ(new_one.port(), old_one.port());
-  old_one.terminate();
-  for (std::size_t k = 0; k < clients.size(); ++k) served(clients[k], "b" + std::to_string(k));
-  old_one.wait_for_end();
-  for (std::size_t k = 0; k < clients.size(); ++k) served(clients[k], "c" + std::to_string(k));
-  TestConnection fresh = new_one.client();
-  served(fresh, "d");
-  // The next one takes over from this one.
+  c.hosts.clear();  // it gets the list from its predecessor
+  RunningRouter successor(c);
+  ASSERT_TRUE(ready(successor));
+  EXPECT_EQ(successor.port(), predecessor.port());
+  predecessor.terminate();
+  for (std::size_t k = 0; k < clients.size(); ++k)
+    expect_served(clients[k], "b" + std::to_string(k));
+  predecessor.wait_for_end();
+  for (std::size_t k = 0; k < clients.size(); ++k)
+    expect_served(clients[k], "c" + std::to_string(k));
+  TestConnection fresh = successor.client();
+  expect_served(fresh, "d");
+  // A third process takes over from the second.
   RunningRouter third(c);
   ASSERT_TRUE(ready(third));
-  new_one.terminate();
-  new_one.wait_for_end();
-  served(fresh, "e");
+  successor.terminate();
+  successor.wait_for_end();
+  expect_served(fresh, "e");
 }
 
-TEST_F(HandoverTest, AListOf1024ServersGoesOver) {
+TEST_F(HandoverTest, AListOf1024ServersIsHandedOver) {
   ConfigText c = config();
   for (int k = 0; k < 1024; ++k)
     c.hosts.push_back(
         host_json(std::string(40, 'c') + std::to_string(k), "127.0.0.1:1", "leaving"));
-  RunningRouter old_one(c);
+  RunningRouter predecessor(c);
   c.hosts.clear();
-  RunningRouter new_one(c);
-  ASSERT_TRUE(ready(new_one));
-  EXPECT_NE(new_one.control("GET", "/-/metrics").find("\"hosts_listed\":1026"), std::string::npos);
+  RunningRouter successor(c);
+  ASSERT_TRUE(ready(successor));
+  EXPECT_NE(successor.control("GET", "/-/metrics").find("\"hosts_listed\":1026"),
+            std::string::npos);
 }
 
-TEST_F(HandoverTest, ARequestUnderWayIsAnsweredByTheOldProcessAndItsConnectionGoesOver) {
+TEST_F(HandoverTest, ARequestInFlightIsAnsweredByThePredecessorAndItsConnectionHandedOver) {
   Peer slow;
   ConfigText c = config();
   c.hosts = {host_json("s-1", slow.address())};
-  RunningRouter old_one(c);
-  TestConnection client = old_one.client();
+  RunningRouter predecessor(c);
+  TestConnection client = predecessor.client();
   client.write(get("a"));
   TestConnection at_server = slow.accept();
   EXPECT_EQ(id_of(at_server.line()), "a");
-  RunningRouter new_one(c);
-  ASSERT_TRUE(ready(new_one));
-  old_one.terminate();
+  RunningRouter successor(c);
+  ASSERT_TRUE(ready(successor));
+  predecessor.terminate();
   TestConnection fresh =
-      new_one.client();  // accepted by the new one while the old one still has work
+      successor.client();  // accepted by the successor while the predecessor still has a request
   fresh.write("mn\r\n");
   EXPECT_EQ(fresh.line(), "MN\r\n");
   at_server.write(value_answer("a", "v"));
   EXPECT_EQ(client.line(), "VA 1 Oa\r\n");
   client.line();
-  old_one.wait_for_end();
+  predecessor.wait_for_end();
   client.write(get("b"));
   TestConnection again = slow.accept();
   EXPECT_EQ(id_of(again.line()), "b");
 }
 
-TEST_F(HandoverTest, ABanHoldsOverAnUpgradeAndMayEndInTheNewProcess) {
-  RunningRouter old_one(config());
-  EXPECT_NE(old_one.control("PUT", "/-/cache-servers/s-1/disable").find("200"), std::string::npos);
-  RunningRouter new_one(config());
-  old_one.terminate();
-  old_one.wait_for_end();
-  EXPECT_NE(new_one.control("GET", "/-/metrics").find(R"("hosts_down":1)"), std::string::npos);
-  EXPECT_NE(new_one.control("PUT", "/-/cache-servers/s-1/enable").find("200"), std::string::npos);
-  EXPECT_NE(new_one.control("GET", "/-/metrics").find(R"("hosts_down":0)"), std::string::npos);
+TEST_F(HandoverTest, ADisabledServerStaysDisabledInTheSuccessorAndCanBeEnabledThere) {
+  RunningRouter predecessor(config());
+  EXPECT_NE(predecessor.control("PUT", "/-/cache-servers/s-1/disable").find("200"),
+            std::string::npos);
+  RunningRouter successor(config());
+  predecessor.terminate();
+  predecessor.wait_for_end();
+  EXPECT_NE(successor.control("GET", "/-/metrics").find(R"("hosts_down":1)"), std::string::npos);
+  EXPECT_NE(successor.control("PUT", "/-/cache-servers/s-1/enable").find("200"), std::string::npos);
+  EXPECT_NE(successor.control("GET", "/-/metrics").find(R"("hosts_down":0)"), std::string::npos);
 }
 
-TEST_F(HandoverTest, ABanToldToEitherProcessBindsTheOther) {
-  RunningRouter old_one(config());
-  RunningRouter new_one(config());
-  EXPECT_NE(new_one.control("PUT", "/-/cache-servers/s-1/disable").find("200"), std::string::npos);
-  while (old_one.control("GET", "/-/metrics").find(R"("hosts_down":1)") == std::string::npos)
+TEST_F(HandoverTest, AServerDisabledInOneProcessIsDisabledInTheOther) {
+  RunningRouter predecessor(config());
+  RunningRouter successor(config());
+  EXPECT_NE(successor.control("PUT", "/-/cache-servers/s-1/disable").find("200"),
+            std::string::npos);
+  while (predecessor.control("GET", "/-/metrics").find(R"("hosts_down":1)") == std::string::npos)
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
 }
 
-TEST_F(HandoverTest, IfTheNewProcessEndsTheOldOneGoesOn) {
-  RunningRouter old_one(config());
+TEST_F(HandoverTest, IfTheSuccessorEndsThePredecessorGoesOn) {
+  RunningRouter predecessor(config());
   {
-    RunningRouter new_one(config());
-    ASSERT_TRUE(ready(new_one));
+    RunningRouter successor(config());
+    ASSERT_TRUE(ready(successor));
   }
-  TestConnection client = old_one.client();
-  served(client, "a");
+  TestConnection client = predecessor.client();
+  expect_served(client, "a");
 }
 
 }  // namespace
--- a/tests/operations/large_values_test.cpp
+++ b/tests/operations/large_values_test.cpp
@@ -1,4 +1,5 @@
-// Values of up to 4 MiB: passed on while they come, within bounds, whole or plainly cut.
+// Values of up to 4 MiB are forwarded while they are received, with bounded memory. A truncated one
+// closes the connection, so that no client takes it for complete.
 #include "../loopback.hpp"
 #include "core/value_pipe.hpp"
 
@@ -14,14 +15,14 @@
          "\r\n" + value + "\r\n";
 }
 
-/// Bytes that tell where each belongs.
+/// Bytes that depend on their position.
 std::string pattern(std::size_t size) {
   std::string text(size, ' ');
   for (std::size_t k = 0; k < size; ++k) text[k] = static_cast<char>('a' + (k * k / 7 + k) % 26);
   return text;
 }
 
-class Bulk : public testing::Test {
+class LargeValues : public testing::Test {
  protected:
   ConfigText config() {
     ConfigText c;
@@ -31,7 +32,7 @@
   Peer server;
 };
 
-TEST_F(Bulk, TheFirstBytesOfALargeValueReachTheClientBeforeTheLastAreThere) {
+TEST_F(LargeValues, AValueIsForwardedBeforeItIsReceivedCompletely) {
   RunningRouter router(config());
   TestConnection client = router.client();
   client.write(get("a") + "mn\r\n");
@@ -46,12 +47,12 @@
   EXPECT_TRUE(client.bytes(value.size() - 1000) == value.substr(1000));
   writer.join();
   EXPECT_EQ(client.line(), "\r\n");
-  EXPECT_EQ(client.line(), "MN\r\n");  // what was asked behind it comes behind it
-  client.write(get("b"));              // both connections are good for more
+  EXPECT_EQ(client.line(), "MN\r\n");  // answers stay in order
+  client.write(get("b"));              // both connections are still usable
   EXPECT_EQ(id_of(at_server.line()), "b");
 }
 
-TEST_F(Bulk, AClientThatDoesNotReadStopsTheServerAndLosesNothing) {
+TEST_F(LargeValues, AClientThatDoesNotReadSlowsTheServerAndLosesNothing) {
   RunningRouter router(config());
   TestConnection client = router.client();
   client.write(get("a"));
@@ -60,7 +61,7 @@
   std::string answer = value_answer("a", pattern(4 * kMiB));
   ::fcntl(at_server.fd(), F_SETFL, O_NONBLOCK);
   std::string_view left = answer;
-  int refused = 0;  // in a row: every buffer on the way is full
+  int refused = 0;  // in a row: all buffers on the way are full
   while (!left.empty() && refused < 20) {
     ssize_t put = ::send(at_server.fd(), left.data(), left.size(), MSG_NOSIGNAL);
     refused = put > 0 ? 0 : refused + 1;
@@ -73,7 +74,7 @@
   writer.join();
 }
 
-TEST_F(Bulk, AValueThatIsCutOffEndsTheClientsConnection) {
+TEST_F(LargeValues, ATruncatedValueClosesTheClientsConnection) {
   for (bool bad_end : {false, true}) {
     RunningRouter router(config());
     TestConnection client = router.client();
@@ -88,7 +89,7 @@
   }
 }
 
-TEST_F(Bulk, AClientThatLeavesAmidAValueCostsTheServersConnectionAndNoMore) {
+TEST_F(LargeValues, AClientThatLeavesDuringAValueCostsOnlyTheServerConnection) {
   RunningRouter router(config());
   TestConnection client = router.client(), next = router.client();
   client.write(get("a"));
@@ -99,15 +100,15 @@
   client.send_reset();
   char byte;
   while (::recv(at_server.fd(), &byte, 1, 0) > 0) {
-  }  // the router's end, orderly or not
+  }  // until the router closes or resets it
   next.write(get("b"));
   TestConnection again = server.accept();
   EXPECT_EQ(id_of(again.line()), "b");
 }
 
-TEST_F(Bulk, LargeWritesWaitForRoomInThePoolAndAllArrive) {
+TEST_F(LargeValues, WritesWaitForBufferMemoryAndAllArrive) {
   ConfigText c = config();
-  c.memory_mb = 8;  // room for one of them at a time
+  c.memory_mb = 8;  // memory for one of them at a time
   RunningRouter router(c);
   std::string value = pattern(3 * kMiB);
   std::vector<TestConnection> clients;
@@ -127,7 +128,7 @@
   for (std::thread& w : writers) w.join();
 }
 
-TEST_F(Bulk, ALargeWriteIsTriedAgainElsewhereWhole) {
+TEST_F(LargeValues, ARejectedWriteIsSentCompletelyToAnotherServer) {
   Peer other;
   ConfigText c = config();
   c.hosts.push_back(host_json("s-2", other.address()));
@@ -149,7 +150,7 @@
   writer.join();
 }
 
-TEST_F(Bulk, ABinaryClientGetsALargeValueOfAMetaServer) {
+TEST_F(LargeValues, ABinaryClientGetsAValueFromAMetaServer) {
   ConfigText c = config();
   c.binary = R"({"clients":true,"read_class":"read","write_class":"pay"})";
   RunningRouter router(c);
@@ -163,12 +164,12 @@
   std::string id = id_of(at_server.line()), value = pattern(kMiB);
   at_server.write(value_answer(id, value, " f5"));
   std::string header = client.bytes(28);
-  EXPECT_EQ(header.substr(8, 4), std::string("\x00\x10\x00\x04", 4));  // flags and value
+  EXPECT_EQ(header.substr(8, 4), std::string("\x00\x10\x00\x04", 4));  // length of flags and value
   EXPECT_EQ(header.substr(24), std::string("\x00\x00\x00\x05", 4));
   EXPECT_TRUE(client.bytes(value.size()) == value);
 }
 
-TEST(ValuePipe, HoldsAWindowAndEndsFromEitherSide) {
+TEST(ValuePipe, BuffersAWindowAndEndsFromEitherSide) {
   ValuePipe pipe(10, 4);
   int room = 0, bytes = 0;
   pipe.on_room([&] { ++room; });
@@ -184,14 +185,14 @@
   EXPECT_EQ(bytes, 3);
   EXPECT_FALSE(pipe.finished());  // not before it is read
   pipe.fail();
-  EXPECT_FALSE(pipe.failed());  // whole already
+  EXPECT_FALSE(pipe.failed());  // it was complete already
   EXPECT_EQ(pipe.take(), "efghij");
   EXPECT_TRUE(pipe.finished());
   pipe.abandon();
   pipe.abandon();
   EXPECT_EQ(room, 3);
   pipe.put("x");
-  EXPECT_EQ(bytes, 4);  // none of it for nobody
+  EXPECT_EQ(bytes, 4);  // not called for an abandoned pipe
 }
 
 }  // namespace
--- a/tests/operations/operator_overrides_test.cpp
+++ b/tests/operations/operator_overrides_test.cpp
@@ -1,4 +1,5 @@
-// What operators do by hand, without sockets: bans over lists, the bans' file, the calls' text.
+// Operator overrides without sockets: disabled servers over lists, the file that keeps them, and
+// the parsing of control calls.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,90 +14,92 @@
 using robinseam::Health;
 using robinseam::Micros;
 
-Host host(const std::string& id, Micros born = 0, Health health = Health::Ready) {
+Host host(const std::string& id, Micros started_at = 0, Health health = Health::Ready) {
   Host h;
   h.server.id = id;
   h.server.health = health;
-  h.server.up_since = born;
+  h.server.up_since = started_at;
   h.dial = "127.0.0.1:1";
   return h;
 }
 
-HostList list(std::vector<Host> hosts, bool whole = true) { return {"1", whole, std::move(hosts)}; }
+HostList list(std::vector<Host> hosts, bool full = true) { return {"1", full, std::move(hosts)}; }
 
-TEST(OperatorOverrides, AServerOutByHandLeavesWhateverTheListSaysUntilItIsPutBack) {
-  OperatorOverrides hand;
-  hand.apply_list(list({host("a"), host("b")}));
-  HostList part = hand.set_disabled({{"a", 100}}, 100);
+TEST(OperatorOverrides, ADisabledServerDrainsWhateverTheListSaysUntilItIsEnabled) {
+  OperatorOverrides overrides;
+  overrides.apply_list(list({host("a"), host("b")}));
+  HostList part = overrides.set_disabled({{"a", 100}}, 100);
   ASSERT_EQ(part.hosts.size(), 1u);
   EXPECT_FALSE(part.full);
   EXPECT_EQ(part.hosts[0].server.health, Health::Draining);
-  EXPECT_EQ(hand.apply_list(list({host("a", 150), host("b")})).hosts[0].server.health,
+  EXPECT_EQ(overrides.apply_list(list({host("a", 150), host("b")})).hosts[0].server.health,
             Health::Draining);
-  hand.apply_list(list({host("b")}));  // gone from the list, and back on it
-  EXPECT_EQ(hand.apply_list(list({host("a", 160)}, false)).hosts[0].server.health,
+  overrides.apply_list(list({host("b")}));  // gone from the list, then listed again
+  EXPECT_EQ(overrides.apply_list(list({host("a", 160)}, false)).hosts[0].server.health,
             Health::Draining);
-  EXPECT_TRUE(hand.set_disabled({{"a", 100}}, 200).hosts.empty());  // said twice
-  EXPECT_EQ(hand.set_disabled({}, 300).hosts[0].server.health, Health::Ready);
+  EXPECT_TRUE(overrides.set_disabled({{"a", 100}}, 200).hosts.empty());  // repeated
+  EXPECT_EQ(overrides.set_disabled({}, 300).hosts[0].server.health, Health::Ready);
 }
 
-TEST(OperatorOverrides, WhoComesBackIsColdUnlessTheListTellsOfAStartSinceTheBan) {
-  for (auto [listed, told] : {std::pair<Micros, Micros>{0, 300}, {50, 300}, {250, 250}}) {
-    OperatorOverrides hand;
-    hand.apply_list(list({host("a", listed)}));
-    hand.set_disabled({{"a", 100}}, 100);
-    EXPECT_EQ(hand.set_disabled({}, 300).hosts[0].server.up_since, told) << listed;
-    EXPECT_EQ(hand.apply_list(list({host("a", listed)})).hosts[0].server.up_since, told) << listed;
-    EXPECT_EQ(hand.apply_list(list({host("a", 280)})).hosts[0].server.up_since, 280) << listed;
+TEST(OperatorOverrides, AnEnabledServerIsColdUnlessTheListHasALaterStart) {
+  for (auto [listed, expected] : {std::pair<Micros, Micros>{0, 300}, {50, 300}, {250, 250}}) {
+    OperatorOverrides overrides;
+    overrides.apply_list(list({host("a", listed)}));
+    overrides.set_disabled({{"a", 100}}, 100);
+    EXPECT_EQ(overrides.set_disabled({}, 300).hosts[0].server.up_since, expected) << listed;
+    EXPECT_EQ(overrides.apply_list(list({host("a", listed)})).hosts[0].server.up_since, expected)
+        << listed;
+    EXPECT_EQ(overrides.apply_list(list({host("a", 280)})).hosts[0].server.up_since, 280) << listed;
   }
 }
 
-TEST(OperatorOverrides, IdsThatWereListedOnceAreKnownInABoundedNumber) {
-  OperatorOverrides hand;
-  EXPECT_FALSE(hand.is_known("a"));
-  hand.apply_list(list({host("a")}));
-  hand.apply_list(list({host("a", 0, Health::Gone)}, false));
-  EXPECT_TRUE(hand.is_known("a"));
-  EXPECT_TRUE(hand.effective_hosts().empty());
+TEST(OperatorOverrides, ABoundedNumberOfFormerIdsStaysKnown) {
+  OperatorOverrides overrides;
+  EXPECT_FALSE(overrides.is_known("a"));
+  overrides.apply_list(list({host("a")}));
+  overrides.apply_list(list({host("a", 0, Health::Gone)}, false));
+  EXPECT_TRUE(overrides.is_known("a"));
+  EXPECT_TRUE(overrides.effective_hosts().empty());
   for (std::size_t k = 0; k < OperatorOverrides::kMaxGoneIds; ++k) {
     std::string id = "s" + std::to_string(k);
-    hand.apply_list(list({host(id)}));
+    overrides.apply_list(list({host(id)}));
   }
-  hand.apply_list(list({}));
-  EXPECT_FALSE(hand.is_known("a"));
-  EXPECT_TRUE(hand.is_known("s" + std::to_string(OperatorOverrides::kMaxGoneIds - 1)));
+  overrides.apply_list(list({}));
+  EXPECT_FALSE(overrides.is_known("a"));
+  EXPECT_TRUE(overrides.is_known("s" + std::to_string(OperatorOverrides::kMaxGoneIds - 1)));
 }
 
-TEST(DisabledServersFile, BothProcessesSeeAndKeepWhatEitherIsTold) {
+TEST(DisabledServersFile, BothProcessesReadAndKeepEachOthersChanges) {
   TempDirectory folder;
   std::string path = folder.path() + "/bans", error;
-  DisabledServersFile old_one(path), new_one(path);
-  ASSERT_TRUE(old_one.set_disabled("a", true, 10, error)) << error;
-  auto seen = new_one.read_if_changed(error);
-  ASSERT_TRUE(seen);
-  EXPECT_EQ(*seen, (DisabledServers{{"a", 10}}));
-  EXPECT_FALSE(new_one.read_if_changed(error));  // nothing new
-  ASSERT_TRUE(new_one.set_disabled("b", true, 20, error));
-  EXPECT_EQ(*old_one.set_disabled("c", true, 30, error),
+  DisabledServersFile predecessor(path), successor(path);
+  ASSERT_TRUE(predecessor.set_disabled("a", true, 10, error)) << error;
+  auto read = successor.read_if_changed(error);
+  ASSERT_TRUE(read);
+  EXPECT_EQ(*read, (DisabledServers{{"a", 10}}));
+  EXPECT_FALSE(successor.read_if_changed(error));  // unchanged
+  ASSERT_TRUE(successor.set_disabled("b", true, 20, error));
+  EXPECT_EQ(*predecessor.set_disabled("c", true, 30, error),
             (DisabledServers{{"a", 10}, {"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*new_one.set_disabled("a", true, 40, error),
+  EXPECT_EQ(*successor.set_disabled("a", true, 40, error),
             (DisabledServers{{"a", 10}, {"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*new_one.set_disabled("a", false, 50, error), (DisabledServers{{"b", 20}, {"c", 30}}));
-  EXPECT_EQ(*old_one.read_if_changed(error), (DisabledServers{{"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*successor.set_disabled("a", false, 50, error),
+            (DisabledServers{{"b", 20}, {"c", 30}}));
+  EXPECT_EQ(*predecessor.read_if_changed(error), (DisabledServers{{"b", 20}, {"c", 30}}));
 }
 
-// Protects against: a cleaned folder, or a moment without descriptors, putting servers back.
-TEST(DisabledServersFile, AFileThatIsGoneOrCannotBeOpenedPutsNobodyBack) {
+// A cleaned folder, or a moment without free descriptors, must not enable servers again.
+TEST(DisabledServersFile, AMissingOrUnreadableFileEnablesNoServer) {
   TempDirectory folder;
   std::string path = folder.path() + "/bans", error;
   DisabledServersFile file(path);
   ASSERT_TRUE(file.set_disabled("a", true, 10, error));
   std::filesystem::remove(path);
-  auto seen = file.read_if_changed(error);
-  EXPECT_TRUE(!seen || *seen == (DisabledServers{{"a", 10}}));
+  auto read = file.read_if_changed(error);
+  EXPECT_TRUE(!read || *read == (DisabledServers{{"a", 10}}));
   EXPECT_EQ(*file.set_disabled("b", true, 20, error), (DisabledServers{{"a", 10}, {"b", 20}}));
   std::filesystem::remove(path);
-  std::filesystem::create_symlink(path, path);  // opens for nobody
+  std::filesystem::create_symlink(path, path);  // can't be opened
   EXPECT_FALSE(file.read_if_changed(error));
   EXPECT_FALSE(file.set_disabled("a", false, 30, error));
   EXPECT_NE(error, "");
@@ -104,7 +107,7 @@
   EXPECT_EQ(*file.set_disabled("b", false, 40, error), (DisabledServers{{"a", 10}}));
 }
 
-TEST(DisabledServersFile, WhatIsNoSuchFileChangesNothingAndIsNotOverwritten) {
+TEST(DisabledServersFile, AnInvalidFileIsRejectedAndNotOverwritten) {
   for (const char* text :
        {"", "{", "[]", R"({"v":2,"out":{}})", R"({"v":1})", R"({"v":1,"out":3})"}) {
     TempDirectory folder;
@@ -118,10 +121,11 @@
   std::string error;
   EXPECT_FALSE(DisabledServersFile("/no/such/folder/bans").set_disabled("a", true, 1, error));
   EXPECT_NE(error, "");
-  EXPECT_TRUE(DisabledServersFile("").set_disabled("a", true, 1, error));  // this process's alone
+  EXPECT_TRUE(DisabledServersFile("").set_disabled(
+      "a", true, 1, error));  // without a file: kept in this process only
 }
 
-TEST(ControlCalls, AreReadFromTheirHeads) {
+TEST(ControlCalls, AreParsedFromTheirHeads) {
   using State = ControlCallParse::State;
   using Kind = ControlCall::Kind;
   const struct {
--- a/tests/operations/temp_directory.hpp
+++ b/tests/operations/temp_directory.hpp
@@ -1,4 +1,4 @@
-// A folder of a test's own, gone with it.
+// A temporary directory that is removed with the object.
 #pragma once
 
 #include <stdlib.h>
@@ -11,8 +11,8 @@
 class TempDirectory {
  public:
   TempDirectory() {
-    std::string form = (std::filesystem::temp_directory_path() / "wheeldeal-XXXXXX").string();
-    path_ = ::mkdtemp(form.data());
+    std::string pattern = (std::filesystem::temp_directory_path() / "wheeldeal-XXXXXX").string();
+    path_ = ::mkdtemp(pattern.data());
   }
   ~TempDirectory() { std::filesystem::remove_all(path_); }
   const std::string& path() const { return path_; }
