--- a/tests/net/descriptors.sh
+++ b/tests/net/descriptors.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The process may have fewer descriptors than the configuration says: it keeps to those, says so, and
-# idle clients that would fill them all keep no new one out. $1 is the program.
+# If the process may have fewer descriptors than the configuration asks for, the router keeps to that
+# limit and logs it, and idle clients that would use them all do not block a new one. $1 is the program.
 set -u
 dir=$(mktemp -d)
 pid=
@@ -24,7 +24,7 @@
 printf 'mn\r\n' >&3
 read -r -t 20 answer <&3
 [ "$answer" = $'MN\r' ] || { echo "answered '$answer'"; exit 1; }
-# Its listener and what it reserves among them, it never held more than it may.
+# With its listener and reserved descriptors, the process never had more open than it may.
 open=$(ls /proc/$pid/fd | wc -l)
 [ "$open" -lt 100 ] || { echo "$open open"; exit 1; }
 echo "as due"
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -1,5 +1,5 @@
-// Whatever ends, nothing is owed afterwards: each test forces the crossing that an end may have, a
-// step of the loop at a time, on real sockets (docs/design/endings.md has the table).
+// Races at the end of connections, attempts and the process: each test forces one interleaving, one
+// iteration of the event loop at a time, on real sockets (docs/design/endings.md lists the cases).
 #include <sys/ioctl.h>
 
 #include <map>
@@ -14,23 +14,23 @@
   return "mg key v O" + id + " Pc=read,t=acme,d=" + wait + ",h=1200\r\n";
 }
 
-struct Still final : TimeSource {
+struct ManualClock final : TimeSource {
   Micros at = 1'000'000 * kSecond;
   Micros now() const override { return at; }
 };
 
-/// What a test waits for has to come within kTestTimeoutMs.
-struct Patience {
+/// Fails the test when a condition is not met within kTestTimeoutMs.
+struct TestDeadline {
   bool left() const {
     if (clock.now() < end) return true;
-    ADD_FAILURE() << "waited in vain";
+    ADD_FAILURE() << "condition not met in time";
     return false;
   }
   Clock clock;
   Micros end = clock.now() + kTestTimeoutMs * kMillisecond;
 };
 
-/// A client side of its own on the test's thread and clock; the test carries attempts out.
+/// A ClientSide on the test's thread and clock; the test answers the attempts.
 struct Clients final : Carrier, Lister {
   explicit Clients(ClientSide::Limits limits = {}) : side(base.get(), clock, core, *this, limits) {
     std::string error;
@@ -49,7 +49,7 @@
     out.push_back({id, attempt});
   }
   Status cancel(const std::string&, RequestId, int) override { return Status::Cancelled; }
-  bool take_back(const std::string&, RequestId, int) override { return unwritten; }
+  bool take_back(const std::string&, RequestId, int) override { return attempts_unwritten; }
   bool keeps_key(const Request&) const override { return true; }
   void watch() override {}
   void fetch() override {}
@@ -67,8 +67,8 @@
   }
   template <class Condition>
   void run_until(Condition condition) {
-    Patience patience;
-    while (!condition() && patience.left()) {
+    TestDeadline deadline;
+    while (!condition() && deadline.left()) {
       event_base_loop(base.get(), EVLOOP_ONCE);  // the sweep wakes it
       turn();
     }
@@ -79,27 +79,27 @@
     run_until([&] { return side.connections() > before; });
     return link;
   }
-  /// A round trip, after which the client has asked and stands idle.
-  void greet(TestConnection& link) {
+  /// One round trip, after which the client has sent a command and is idle.
+  void round_trip(TestConnection& link) {
     link.write("mn\r\n");
     run();
     EXPECT_EQ(link.line(), "MN\r\n");
   }
-  /// Answers the attempt of that number, counted from 0.
+  /// Answers the attempt with this number, counted from 0.
   void serve(std::size_t number, const std::string& value) {
     AttemptResult result;
     result.value = value;
     core.attempt_ended(out[number].first, out[number].second, Status::Ok, std::move(result));
   }
-  /// `act` right before the next sweep, in the same step of the loop: what it writes is not read
-  /// before that.
+  /// Runs `act` right before the next sweep, in the same loop iteration: what it writes is not read
+  /// before the sweep.
   void before_sweep(const std::function<void()>& act) {
-    timeval due{0, 150'000};  // the loop stands still until its sweep is due
+    timeval due{0, 150'000};  // the loop does not run until its sweep is due
     ::select(0, nullptr, nullptr, nullptr, &due);
-    in_step(act);
+    run_first_in_iteration(act);
   }
-  /// `act` as the first thing that the loop's next step does, whatever else it finds then.
-  void in_step(const std::function<void()>& act) {
+  /// Runs `act` first in the next loop iteration, before any other event.
+  void run_first_in_iteration(const std::function<void()>& act) {
     auto call = [](evutil_socket_t, short, void* what) {
       (*static_cast<const std::function<void()>*>(what))();
     };
@@ -109,14 +109,14 @@
     turn();
   }
 
-  Still clock;
+  ManualClock clock;
   EventBasePtr base{event_base_new()};
   robinseam::Server server = one();
   Core core{parse_config(ConfigText().text()).settings, 1, clock, *this, 1000, 1000};
   ClientSide side;
   std::vector<std::string> sent;
   std::vector<std::pair<RequestId, int>> out;
-  bool unwritten = false;
+  bool attempts_unwritten = false;
 };
 
 void expect_served(TestConnection& link, const std::string& id) {
@@ -124,24 +124,24 @@
   EXPECT_EQ(link.line(), "v\r\n");
 }
 
-// ---- a request that reaches a connection in the moment of its end ----
+// ---- a request that arrives just when its connection is closed ----
 
-TEST(Endings, ARequestThatComesAsItsConnectionIsToBeClosedIsServed) {
+TEST(Endings, ARequestThatArrivesAsItsConnectionIsClosedIsServed) {
   struct Case {
     const char* what;
-    bool asked, away;
+    bool has_sent, operator_drain;
     Micros later;
   };
   const Case cases[] = {{"idle for long", true, false, 11 * kSecond},
-                        {"silent since its connect", false, false, 3 * kSecond},
-                        {"idle, clients are sent away", true, true, 3 * kSecond}};
+                        {"no command since its connect", false, false, 3 * kSecond},
+                        {"idle during an operator drain", true, true, 3 * kSecond}};
   for (const Case& c : cases) {
     Clients clients;
     TestConnection link = clients.connect();
-    if (c.asked) {
-      clients.greet(link);
+    if (c.has_sent) {
+      clients.round_trip(link);
     }
-    if (c.away) clients.side.set_operator_drain(true);
+    if (c.operator_drain) clients.side.set_operator_drain(true);
     clients.before_sweep([&] {
       clients.clock.at += c.later;
       link.write(get("r1"));
@@ -153,18 +153,18 @@
   }
 }
 
-TEST(Endings, ARequestThatComesAsItsConnectionIsToMakeWayIsServed) {
-  for (bool asked : {true, false}) {
+TEST(Endings, ARequestThatArrivesAsItsConnectionIsEvictedIsServed) {
+  for (bool has_sent : {true, false}) {
     ClientSide::Limits limits;
     limits.connections = 1, limits.spare_connections = 1;
     Clients clients(limits);
     TestConnection link = clients.connect();
-    if (asked) {
-      clients.greet(link);
+    if (has_sent) {
+      clients.round_trip(link);
     }
     clients.clock.at += kSecond;
     TestConnection other;
-    clients.in_step([&] {
+    clients.run_first_in_iteration([&] {
       other = TestConnection::to(clients.side.port());
       link.write(get("r1"));
     });
@@ -176,14 +176,14 @@
   }
 }
 
-// The table is full, and one comes: one idle connection makes way for it, and no second for nobody.
-TEST(Endings, ForOneThatComesOneMakesWay) {
+// With a full connection table, a new client closes one idle connection, not a second one as well.
+TEST(Endings, ANewConnectionEvictsExactlyOne) {
   ClientSide::Limits limits;
   limits.connections = 2, limits.spare_connections = 2;
   Clients clients(limits);
   TestConnection first = clients.connect(), second = clients.connect();
   for (TestConnection* link : {&first, &second}) {
-    clients.greet(*link);
+    clients.round_trip(*link);
     clients.clock.at += kSecond;
   }
   TestConnection third = TestConnection::to(clients.side.port());
@@ -194,8 +194,8 @@
   EXPECT_EQ(clients.side.connections(), 2u);
 }
 
-// What lingers makes way, also where half a command was all that it said.
-TEST(Endings, AConnectionThatLingersOverHalfACommandMakesWay) {
+// A lingering connection is closed for a new one, even if it has received half a command only.
+TEST(Endings, AConnectionThatLingersWithHalfACommandIsEvicted) {
   ClientSide::Limits limits;
   limits.connections = 1, limits.spare_connections = 0;
   Clients clients(limits);
@@ -212,8 +212,9 @@
   EXPECT_EQ(clients.side.connections(), 1u);
 }
 
-// Clients are being sent away, the answer goes out, and the next request lies there already.
-TEST(Endings, ARequestBehindAnAnswerIsReadBeforeTheConnectionIsEnded) {
+// During an operator drain, an answer is written while the next request is already in
+// the socket.
+TEST(Endings, APipelinedRequestIsReadBeforeTheConnectionIsClosed) {
   Clients clients;
   TestConnection link = clients.connect();
   link.write(get("r1"));
@@ -231,11 +232,12 @@
   EXPECT_TRUE(link.is_closed());
 }
 
-// Behind our shutdown nothing is sent on, and the client sees an end, no reset.
-TEST(Endings, WhatComesBehindTheShutdownIsReadAndDropped) {
+// After the router's shutdown of the connection no request is served, and the client gets an
+// orderly close, no reset.
+TEST(Endings, RequestsAfterTheShutdownAreReadAndDropped) {
   Clients clients;
   TestConnection link = clients.connect();
-  clients.greet(link);
+  clients.round_trip(link);
   clients.side.drain();
   clients.run();
   EXPECT_TRUE(link.is_closed());
@@ -247,9 +249,9 @@
   clients.run_until([&] { return clients.side.connections() == 0; });
 }
 
-// From the drain on a till that goes on sending gets what was begun, then the end: what it sent
-// meanwhile was not taken, so that it is not lost when the process's time is over.
-TEST(Endings, OnceDrainingNoMoreIsTakenBehindWhatIsOut) {
+// Once the process drains, a till that keeps sending gets the answers to what was started, then a
+// close. Later requests are not read, so that none is lost when the process ends.
+TEST(Endings, ADrainingProcessTakesNoMorePipelinedRequests) {
   Clients clients;
   TestConnection link = clients.connect();
   link.write(get("r1"));
@@ -268,7 +270,7 @@
 
 // ---- an answer that its till has not read yet ----
 
-/// A connection whose receive buffer is small, with more than it holds on its way to it.
+/// A connection with a small receive buffer and an answer that exceeds it.
 struct SlowReader {
   explicit SlowReader(Clients& clients) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -305,7 +307,7 @@
       other = TestConnection::to(clients.side.port());
       clients.run();
     }
-    // Were the socket closed by now, this would be answered with a reset, which destroys the rest.
+    // If the socket were closed by now, this would cause a reset, which discards the rest.
     reader.link.write(get("r2"));
     EXPECT_EQ(clients.side.connections(), 1u) << room;
     reader.expect_whole();
@@ -315,8 +317,8 @@
   }
 }
 
-// A till that never takes it does not keep its connection for good.
-TEST(Endings, ALingeringConnectionIsClosedInTheEnd) {
+// A till that never reads its answer does not keep its connection forever.
+TEST(Endings, ALingeringConnectionIsClosedAfterItsTimeout) {
   Clients clients;
   SlowReader reader(clients);
   clients.side.drain();
@@ -325,7 +327,7 @@
   EXPECT_EQ(clients.side.connections(), 0u);
 }
 
-TEST(Endings, TheProcessesLastStepLeavesWrittenAnswersTheirWay) {
+TEST(Endings, WrittenAnswersArriveAfterTheProcessHasEnded) {
   auto clients = std::make_unique<Clients>();
   SlowReader reader(*clients);
   clients->side.drain();
@@ -338,8 +340,8 @@
 
 // ---- a client that has gone ----
 
-// It sent more than is read from it at once, and left: its end lies behind bytes that are not read.
-TEST(Endings, NothingMoreIsBegunForAClientThatSentMuchAndLeft) {
+// The client sent more than is read at once, and left: its close is behind bytes that are not read.
+TEST(Endings, NoFurtherRequestIsStartedForAClientThatHasLeft) {
   for (bool reset : {false, true}) {
     Clients clients;
     TestConnection link = clients.connect();
@@ -348,9 +350,9 @@
     link.write(many);
     clients.run_until([&] { return clients.sent.size() == 32; });
     reset ? link.send_reset() : link.close();
-    // Seen without reading: the core hears of all that is open.
-    auto heard = [&] { return clients.core.module_stats().open_requests == 0; };
-    clients.run_until(heard);
+    // Noticed without reading: the core is told that no open request has a client.
+    auto all_gone = [&] { return clients.core.module_stats().open_requests == 0; };
+    clients.run_until(all_gone);
     clients.clock.at += 60 * kMillisecond;
     for (std::size_t k = 0; k < 32; ++k) clients.serve(k, "v");
     clients.run_until([&] { return clients.side.connections() == 0; });
@@ -359,9 +361,9 @@
   }
 }
 
-// Only its sending has ended: what may run is waited for, what has not been begun a moment later is
-// refused, each in its place.
-TEST(Endings, AHalfClosedTillGetsWhatMayRunAndIsRefusedTheRest) {
+// The till has only shut down its sending: attempts that may run are waited for; requests not
+// started shortly after are refused; answers stay in order.
+TEST(Endings, AHalfClosedTillGetsStartedRequestsServedAndTheRestRefused) {
   Clients clients;
   TestConnection link = clients.connect();
   std::string many;
@@ -380,9 +382,9 @@
   EXPECT_EQ(clients.sent.size(), 32u);
 }
 
-TEST(Endings, AHalfClosedTillsUnwrittenAttemptIsTakenBackAndRefused) {
+TEST(Endings, AHalfClosedTillsUnwrittenAttemptIsWithdrawnAndRefused) {
   Clients clients;
-  clients.unwritten = true;
+  clients.attempts_unwritten = true;
   TestConnection link = clients.connect();
   link.write(get("h1"));
   clients.run_until([&] { return clients.sent.size() == 1; });
@@ -398,7 +400,7 @@
 
 // ---- attempts ----
 
-/// A server side of its own, on the test's thread and clock.
+/// A ServerSide on the test's thread and clock.
 struct Servers final : ServerSide::Handler {
   explicit Servers(const std::string& address, bool binary = false)
       : side(base.get(), clock, *this, limits(), nullptr) {
@@ -420,12 +422,12 @@
   }
   RequestId send(bool write = false, std::size_t size = 1) {
     Request r;
-    r.key = "key", r.id = "e" + std::to_string(++asked), r.tenant = "acme";
+    r.key = "key", r.id = "e" + std::to_string(++sent), r.tenant = "acme";
     r.type = write ? "put" : "read", r.write = write;
     if (write) r.value = std::make_shared<const std::string>(size, 'x');
-    side.send("s-1", asked, 0, r, kSecond);
+    side.send("s-1", sent, 0, r, kSecond);
     run();
-    return asked;
+    return sent;
   }
   void run() {
     side.flush();
@@ -434,35 +436,35 @@
   }
   template <class Condition>
   void run_until(Condition condition) {
-    Patience patience;
-    while (!condition() && patience.left()) {
+    TestDeadline deadline;
+    while (!condition() && deadline.left()) {
       event_base_loop(base.get(), EVLOOP_ONCE);
       side.flush();
     }
   }
-  void written(std::uint64_t count) {
+  void wait_until_written(std::uint64_t count) {
     run_until([&] { return side.counts().written >= count; });
   }
-  Status end_of(RequestId id) {
+  Status wait_for_end(RequestId id) {
     run_until([&] { return ends.count(id) > 0; });
     return ends[id];
   }
   EventBasePtr base{event_base_new()};
-  Still clock;
+  ManualClock clock;
   ServerSide side;
   std::map<RequestId, Status> ends;
-  RequestId asked = 0;
+  RequestId sent = 0;
 };
 
-/// A server whose backlog is full: dials to it neither come up nor fail until it accepts.
+/// A server with a full backlog: dials to it neither succeed nor fail until it accepts.
 struct FullBacklog {
   FullBacklog() {
     ::listen(peer.fd(), 0);
     first = TestConnection::to(static_cast<std::uint16_t>(
         std::stoi(peer.address().substr(peer.address().rfind(':') + 1))));
   }
-  /// The connection whose dial hung; it comes up with the system's next try.
-  TestConnection let_in() {
+  /// The connection whose dial hung; it is established by the system's next SYN.
+  TestConnection accept_pending_dial() {
     peer.accept();
     return peer.accept();
   }
@@ -470,41 +472,41 @@
   TestConnection first;
 };
 
-TEST(Endings, AnAttemptTakenBackBehindADialIsNeverWritten) {
+TEST(Endings, AnAttemptWithdrawnDuringADialIsNeverWritten) {
   FullBacklog server;
   Servers servers(server.peer.address());
   RequestId gone = servers.send();
   EXPECT_TRUE(servers.side.take_back("s-1", gone, 0));
   TestConnection link;
-  std::thread late([&] { link = server.let_in(); });
+  std::thread late([&] { link = server.accept_pending_dial(); });
   servers.run_until([&] { return servers.side.idle_connections() == 1; });
   late.join();
-  RequestId next = servers.send();  // the connection that came up late serves it
-  servers.written(1);
+  RequestId next = servers.send();  // uses the connection that was established late
+  servers.wait_until_written(1);
   EXPECT_EQ(link.line().substr(0, 11), "mg key v Oe");
   link.write(value_answer("e2", "v"));
-  EXPECT_EQ(servers.end_of(next), Status::Ok);
+  EXPECT_EQ(servers.wait_for_end(next), Status::Ok);
   EXPECT_EQ(servers.ends.count(gone), 0u);
   EXPECT_EQ(servers.side.counts().dials, 1u);
 }
 
-TEST(Endings, ADialThatComesUpAfterItsServerHasLeftSendsNothing) {
+TEST(Endings, ADialEstablishedAfterItsServerHasLeftSendsNothing) {
   FullBacklog server;
   Servers servers(server.peer.address());
   RequestId gone = servers.send();
   servers.side.apply_list(
       parse_host_list(list_json(2, false, {host_json("s-1", server.peer.address(), "leaving")})));
-  EXPECT_EQ(servers.end_of(gone), Status::Moot);
+  EXPECT_EQ(servers.wait_for_end(gone), Status::Moot);
   TestConnection link;
-  std::thread late([&] { link = server.let_in(); });
+  std::thread late([&] { link = server.accept_pending_dial(); });
   servers.run_until([&] { return servers.side.connections() == 0; });
   late.join();
   EXPECT_TRUE(link.is_closed());
 }
 
-// In front of it stands a value that the server does not take: nothing of the next goes out, and of
-// the value itself no more once its client has gone.
-TEST(Endings, WhatAFullSocketHoldsIsTakenBack) {
+// The socket buffer is full of a value that the server does not read: nothing of the next attempt
+// is written, and no more of the value once its client has gone.
+TEST(Endings, AttemptsBehindAFullSocketBufferAreWithdrawn) {
   Peer server;
   Servers servers(server.address());
   RequestId large = servers.send(true, 32u << 20);
@@ -515,50 +517,51 @@
   EXPECT_TRUE(servers.side.take_back("s-1", behind, 0));
   EXPECT_EQ(servers.side.counts().written, 0u);
   RequestId last = servers.send();
-  EXPECT_TRUE(servers.side.take_back("s-1", large, 0));  // it was not whole: it never runs
-  EXPECT_EQ(servers.end_of(last), Status::ConnectFailed);
+  EXPECT_TRUE(servers.side.take_back("s-1", large, 0));  // incomplete, so it never runs
+  EXPECT_EQ(servers.wait_for_end(last), Status::ConnectFailed);
   EXPECT_EQ(servers.side.connections(), 0u);
   EXPECT_EQ(servers.side.counts().written, 0u);
   EXPECT_LT(link.read_to_end().size(), 32u << 20);
 }
 
-// Where others wait on the connection for what may run, the value goes on.
-TEST(Endings, AValueInPartIsNotTakenBackAtItsNeighboursCost) {
+// If other attempts that may run are awaited on the connection, the value is written to
+// its end.
+TEST(Endings, APartlyWrittenValueIsNotWithdrawnIfOthersWaitOnTheConnection) {
   Peer server;
   Servers servers(server.address());
   RequestId first = servers.send();
-  servers.written(1);
+  servers.wait_until_written(1);
   TestConnection link = server.accept();
   RequestId large = servers.send(true, 32u << 20);
   servers.run();
   EXPECT_FALSE(servers.side.take_back("s-1", large, 0));
   link.line();
   link.write(value_answer("e1", "v"));
-  EXPECT_EQ(servers.end_of(first), Status::Ok);
+  EXPECT_EQ(servers.wait_for_end(first), Status::Ok);
 }
 
-TEST(Endings, BehindTheFirstAnswerOfAnUnprovenServerAttemptsAreTakenBack) {
+TEST(Endings, AttemptsThatWaitForTheFirstAnswerOfAServerAreWithdrawn) {
   Peer server;
   Servers servers(server.address(), true);
   servers.send();
-  servers.written(1);
+  servers.wait_until_written(1);
   RequestId gone = servers.send();
   EXPECT_TRUE(servers.side.take_back("s-1", gone, 0));
   EXPECT_EQ(servers.side.counts().written, 1u);
 }
 
-// Where two attempts of a request may not be out at once, a written one ends with its connection,
-// unless others wait there for what may run.
-TEST(Endings, AnAttemptThatAnotherIsToFollowEndsWithItsConnection) {
+// If a request may have only one attempt in flight, a written attempt ends with its
+// connection, unless other attempts that may run are awaited there.
+TEST(Endings, AnAttemptThatMustEndBeforeTheNextEndsWithItsConnection) {
   for (bool neighbour : {false, true}) {
     Peer server;
     Servers servers(server.address());
     RequestId first = servers.send();
-    servers.written(1);
+    servers.wait_until_written(1);
     TestConnection link = server.accept();
     link.line();
     RequestId second = neighbour ? servers.send() : 0;
-    if (neighbour) servers.written(2);
+    if (neighbour) servers.wait_until_written(2);
     EXPECT_EQ(servers.side.end("s-1", first, 0),
               neighbour ? std::nullopt : std::optional(Status::Cancelled));
     if (!neighbour) {
@@ -567,16 +570,17 @@
       continue;
     }
     link.line();
-    link.write(value_answer("e1", "v") + value_answer("e2", "v"));  // it goes on
-    EXPECT_EQ(servers.end_of(first), Status::Ok);
-    EXPECT_EQ(servers.end_of(second), Status::Ok);
+    link.write(value_answer("e1", "v") + value_answer("e2", "v"));  // it stays in flight
+    EXPECT_EQ(servers.wait_for_end(first), Status::Ok);
+    EXPECT_EQ(servers.wait_for_end(second), Status::Ok);
   }
 }
 
-// ---- a second answer ----
+// ---- duplicate answers ----
 
-// It names no command, so that it could be the next one's: that a write never ran is not believed.
-TEST(Endings, ASecondRefusalDoesNotSayThatTheNextWriteNeverRan) {
+// An answer without an id may be a duplicate of the one before, so it must not be taken as proof
+// that the next write has not run.
+TEST(Endings, ADuplicateBusyAnswerDoesNotProveThatTheNextWriteHasNotRun) {
   struct Case {
     const char* what;
     bool write, pipelined;
@@ -584,41 +588,41 @@
     Status status;
   };
   const Case cases[] = {
-      {"a write, right behind", true, true, 0, Status::Spoilt},
+      {"a write, pipelined", true, true, 0, Status::Spoilt},
       {"a write, some milliseconds late", true, false, 9 * kMillisecond, Status::Spoilt},
       {"a read, which may run twice", false, false, 0, Status::Full},
-      {"a refusal long after", true, false, kSecond, Status::Full}};
+      {"a write, long after", true, false, kSecond, Status::Full}};
   for (const Case& c : cases) {
     Peer server;
     Servers servers(server.address());
     RequestId first = servers.send();
-    servers.written(1);
+    servers.wait_until_written(1);
     TestConnection link = server.accept();
     link.line();
     RequestId second = 0;
     if (c.pipelined) {
       second = servers.send(c.write);
-      servers.written(2);
+      servers.wait_until_written(2);
       link.write("SERVER_ERROR busy\r\nSERVER_ERROR busy\r\n");
     } else {
       link.write("SERVER_ERROR busy\r\n");
-      EXPECT_EQ(servers.end_of(first), Status::Full) << c.what;
+      EXPECT_EQ(servers.wait_for_end(first), Status::Full) << c.what;
       servers.clock.at += c.later;
       second = servers.send(c.write);
-      servers.written(2);
+      servers.wait_until_written(2);
       link.write("SERVER_ERROR busy\r\n");
     }
-    EXPECT_EQ(servers.end_of(second), c.status) << c.what;
+    EXPECT_EQ(servers.wait_for_end(second), c.status) << c.what;
   }
 }
 
-// Those that name their command are never another's.
-TEST(Endings, ASecondValueIsNoAnswerToTheNextCommand) {
+// An answer with an id or opaque is never taken for another command's.
+TEST(Endings, ADuplicateValueIsNoAnswerToTheNextCommand) {
   for (bool binary : {false, true}) {
     Peer server;
     Servers servers(server.address(), binary);
     RequestId first = servers.send();
-    servers.written(1);
+    servers.wait_until_written(1);
     TestConnection link = server.accept();
     std::string answer = value_answer("e1", "v");
     if (binary) {
@@ -629,15 +633,15 @@
       link.line();
     }
     link.write(answer);
-    EXPECT_EQ(servers.end_of(first), Status::Ok);
+    EXPECT_EQ(servers.wait_for_end(first), Status::Ok);
     RequestId second = servers.send();
-    servers.written(2);
+    servers.wait_until_written(2);
     link.write(answer);
-    EXPECT_EQ(servers.end_of(second), Status::Spoilt);
+    EXPECT_EQ(servers.wait_for_end(second), Status::Spoilt);
   }
 }
 
-// ---- the process's end ----
+// ---- the end of the process ----
 
 ConfigText one_server(const Peer& server) {
   ConfigText c;
@@ -645,15 +649,15 @@
   return c;
 }
 
-// Idle tills, silent and not, fill the table while discovery is down: its return is found out, what
-// it tells is learned, and a new till is served by it.
-TEST(Endings, IdleTillsThatFillTheTableKeepNeitherDiscoveryNorNewTillsOut) {
+// Idle tills fill the connection table while discovery is down. The router must still notice its
+// return, apply its list and serve a new till.
+TEST(Endings, IdleTillsThatFillTheTableBlockNeitherDiscoveryNorNewTills) {
   Peer discovery, old, fresh;
   ConfigText config = one_server(old);
   config.discovery = discovery.address();
   config.sockets = 96;
   RunningRouter router(config);
-  discovery.accept().send_reset();  // its first call; from here on it is down
+  discovery.accept().send_reset();  // the first call; discovery is down from here on
   std::vector<TestConnection> tills;
   for (int k = 0; k < 150; ++k) {
     tills.push_back(router.client());
@@ -661,7 +665,7 @@
     tills.back().write("mn\r\n");
     EXPECT_EQ(tills.back().line(), "MN\r\n");
   }
-  TestConnection call = discovery.accept();  // made again, and it got its descriptor
+  TestConnection call = discovery.accept();  // the repeated call got a descriptor
   for (std::string header = call.line(); header.size() > 2;) header = call.line();
   std::string body = list_json(2, true, {host_json("s-9", fresh.address())});
   call.write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
@@ -676,21 +680,21 @@
   expect_served(till, "n1");
 }
 
-// The server hangs, or has said half a line: the till gets its one answer in its time, though that
-// is short, and the process ends.
-TEST(Endings, SigtermWhileAServerHangsLeavesNobodyWithoutAnAnswer) {
-  for (const char* said : {"", "VA 1", "VA 5 Ot1\r\nab"}) {
+// The server hangs, or has sent part of an answer: the till gets its one answer within its short
+// deadline, and the process ends.
+TEST(Endings, SigtermWhileAServerHangsStillAnswersEveryTill) {
+  for (const char* partial_answer : {"", "VA 1", "VA 5 Ot1\r\nab"}) {
     Peer server;
     RunningRouter router(one_server(server));
     TestConnection till = router.client(), other = router.client();
     till.write(get("t1", "300"));
     TestConnection at_server = server.accept();
     at_server.line();
-    at_server.write(said);
+    at_server.write(partial_answer);
     router.terminate();
     std::string answer = till.line();
-    EXPECT_EQ(answer.substr(0, 13), "SERVER_ERROR ") << said;
-    EXPECT_TRUE(till.is_closed()) << said;
+    EXPECT_EQ(answer.substr(0, 13), "SERVER_ERROR ") << partial_answer;
+    EXPECT_TRUE(till.is_closed()) << partial_answer;
     till.close(), other.close();
     router.wait_for_end();
   }
