--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -25,9 +25,9 @@
   limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, config.sockets);
   if (::setrlimit(RLIMIT_NOFILE, &limit) != 0) ::getrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_cur >= config.sockets) return config;
-  if (limit.rlim_cur < kFewestSockets)
+  if (limit.rlim_cur < kMinDescriptors)
     throw ConfigError("limits.sockets: the process may have " + std::to_string(limit.rlim_cur) +
-                      " descriptors, under " + std::to_string(kFewestSockets));
+                      " descriptors, under " + std::to_string(kMinDescriptors));
   complain("limits.sockets: " + std::to_string(limit.rlim_cur) + " for " +
            std::to_string(config.sockets) + ": the process may have no more");
   config.sockets = static_cast<std::size_t>(limit.rlim_cur);
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-int serve(const std::function<Config()>& load, const Attach& attach) {
+int serve(const std::function<Config()>& load, const FrontendFactory& attach) {
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGHUP, SIG_IGN);  // until there is something to reload
   try {
--- a/src/app/wheeldeal.cpp
+++ b/src/app/wheeldeal.cpp
@@ -29,7 +29,7 @@
         "%s: good: %s listens on %s, %zu classes, %zu known servers; binary clients %s, "
         "%zu rules for binary servers\n",
         file.c_str(), c.name.c_str(), c.listen.c_str(), c.settings.classes.size(),
-        c.known.hosts.size(), c.binary.clients ? "on" : "off", c.binary.servers.size());
+        c.initial_list.hosts.size(), c.binary.clients ? "on" : "off", c.binary.servers.size());
     return 0;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s: %s\n", file.c_str(), e.what());
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -14,10 +14,10 @@
     while (std::getline(std::cin, line)) {
       ++number;
       if (line.empty()) continue;
-      std::string reply = adapter.take(line);
+      std::string reply = adapter.process_line(line);
       if (!reply.empty()) std::cout << reply << std::flush;
     }
-    if (adapter.in_batch()) throw robinseam::drill::WireError("input ends inside a batch");
+    if (adapter.in_batch()) throw robinseam::drill::ParseError("input ends inside a batch");
   } catch (const std::exception& e) {
     std::cerr << "robinseam_drill: line " << number << ": " << e.what() << '\n';
     return 1;
--- a/src/drill/settings.cpp
+++ b/src/drill/settings.cpp
@@ -36,7 +36,9 @@
   return value;
 }
 
-std::optional<ReportField> report_field_of(std::string_view name) { return look_up(kField, name); }
+std::optional<ReportField> parse_report_field(std::string_view name) {
+  return look_up(kField, name);
+}
 
 namespace {
 
@@ -58,7 +60,7 @@
 
 }  // namespace
 
-Settings settings_of(const SettingPairs& by_path) {
+Settings parse_settings(const SettingPairs& by_path) {
   Reader read{by_path};
   auto text = [&](const std::string& path) { return read.text(path); };
   auto number = [&](const std::string& path, double absent) { return read.number(path, absent); };
@@ -126,17 +128,17 @@
   return s;
 }
 
-LinkSettings link_settings_of(const SettingPairs& by_path) {
+ConnectionSettings parse_connection_settings(const SettingPairs& by_path) {
   Reader read{by_path};
-  LinkSettings l;
+  ConnectionSettings l;
   auto positive = [&](const char* path, std::int64_t absent) {
     return in_range(read.integer(path, absent), 1, std::int64_t{1} << 50, path);
   };
-  l.streams = static_cast<int>(
-      std::min<std::int64_t>(positive("Limits.StreamsPerConn", l.streams), 1'000'000));
+  l.attempts_per_connection = static_cast<int>(std::min<std::int64_t>(
+      positive("Limits.StreamsPerConn", l.attempts_per_connection), 1'000'000));
   l.keepalive = positive("Limits.KeepaliveUs", l.keepalive);
   l.dial_timeout = positive("Limits.DialTimeoutUs", l.dial_timeout);
-  l.max_open = positive("Limits.MaxOpen", l.max_open);
+  l.max_open_requests = positive("Limits.MaxOpen", l.max_open_requests);
   return l;
 }
 
--- a/src/drill/text.hpp
+++ b/src/drill/text.hpp
@@ -13,7 +13,7 @@
 namespace robinseam::drill {
 
 /// A malformed line or setting; what() says what is wrong with it.
-struct WireError : std::runtime_error {
+struct ParseError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -30,8 +30,8 @@
   return std::nullopt;
 }
 
-inline WireError bad(std::string_view what, std::string_view value) {
-  return WireError("bad value for " + std::string(what) + ": '" + std::string(value) + "'");
+inline ParseError bad(std::string_view what, std::string_view value) {
+  return ParseError("bad value for " + std::string(what) + ": '" + std::string(value) + "'");
 }
 
 template <typename T, std::size_t N>
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -42,7 +42,7 @@
 Line::Line(std::string_view text) {
   std::size_t end = text.find(' ');
   name_ = text.substr(0, end);
-  if (name_.empty()) throw WireError("no message name");
+  if (name_.empty()) throw ParseError("no message name");
   while (end != text.npos) {
     text.remove_prefix(end + 1);
     end = text.find(' ');
@@ -50,7 +50,7 @@
     if (part.empty()) continue;
     std::size_t eq = part.find('=');
     if (eq == part.npos || eq == 0)
-      throw WireError("'" + std::string(part) + "' is not name=value");
+      throw ParseError("'" + std::string(part) + "' is not name=value");
     pairs_.emplace_back(part.substr(0, eq), part.substr(eq + 1));
   }
 }
@@ -63,7 +63,7 @@
 
 std::string_view Line::text(std::string_view key) const {
   if (const auto* value = find(key)) return *value;
-  throw WireError(std::string(name_) + " without " + std::string(key));
+  throw ParseError(std::string(name_) + " without " + std::string(key));
 }
 
 std::int64_t Line::integer(std::string_view key) const { return to_integer(text(key), key); }
@@ -83,11 +83,11 @@
   return value ? to_flag(*value, key) : absent;
 }
 
-SettingPairs pairs_by_path(const Line& line) {
+SettingPairs setting_pairs(const Line& line) {
   return SettingPairs(line.pairs().begin(), line.pairs().end());
 }
 
-std::string line_of(const Action& action) {
+std::string format_action(const Action& action) {
   struct Writer {
     std::string operator()(const Send& a) const {
       std::string line = "route Tid=" + std::to_string(a.id) + " Server=" + a.server;
@@ -115,20 +115,20 @@
   return std::visit(Writer{}, action);
 }
 
-std::string Adapter::take(std::string_view text) {
+std::string Adapter::process_line(std::string_view text) {
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
   Line line(text);
-  if (entries_due_ > 0 && line.name() != "m") throw WireError("a list entry was due");
+  if (entries_due_ > 0 && line.name() != "m") throw ParseError("a list entry was due");
   if (line.name() == "batch") {
-    if (in_batch_) throw WireError("a batch inside a batch");
+    if (in_batch_) throw ParseError("a batch inside a batch");
     Micros now = line.integer("NowUs");
-    if (seen_batch_ && now < now_) throw WireError("the clock runs backwards");
+    if (seen_batch_ && now < now_) throw ParseError("the clock runs backwards");
     now_ = now;
     in_batch_ = seen_batch_ = true;
     who_.clear(), written_.clear(), reply_.clear();
     return {};
   }
-  if (!in_batch_) throw WireError("'" + std::string(line.name()) + "' outside a batch");
+  if (!in_batch_) throw ParseError("'" + std::string(line.name()) + "' outside a batch");
   if (line.name() == "your_turn") {
     in_batch_ = false;
     return std::move(reply_) + "done\n";
@@ -139,14 +139,14 @@
 
 Balancer& Adapter::current() {
   auto it = hosts_.find(who_);
-  if (it == hosts_.end()) throw WireError("an event for '" + who_ + "' before its enlist");
+  if (it == hosts_.end()) throw ParseError("an event for '" + who_ + "' before its enlist");
   return *it->second;
 }
 
 void Adapter::emit(Actions actions) {
   if (actions.empty()) return;
   if (written_ != who_) reply_ += "instance Who=" + who_ + "\n", written_ = who_;
-  for (const Action& action : actions) reply_ += line_of(action), reply_ += '\n';
+  for (const Action& action : actions) reply_ += format_action(action), reply_ += '\n';
 }
 
 void Adapter::end_list() { emit(current().on_list(now_, scope_, entries_)); }
@@ -155,17 +155,17 @@
   std::string_view name = line.name();
   if (name == "switch_to") {
     who_ = line.text("Who");
-    if (who_.empty()) throw WireError("switch_to without Who");
+    if (who_.empty()) throw ParseError("switch_to without Who");
     return;
   }
-  if (who_.empty()) throw WireError("'" + std::string(name) + "' before switch_to");
+  if (who_.empty()) throw ParseError("'" + std::string(name) + "' before switch_to");
   if (name == "enlist") {
     std::int64_t seed = line.integer("RngSeed");
     try {
-      hosts_[who_] = std::make_unique<Balancer>(settings_of(pairs_by_path(line)),
+      hosts_[who_] = std::make_unique<Balancer>(parse_settings(setting_pairs(line)),
                                                 static_cast<std::uint64_t>(seed), now_);
     } catch (const std::invalid_argument& e) {
-      throw WireError(e.what());
+      throw ParseError(e.what());
     }
     emit(hosts_[who_]->start(now_));
   } else if (name == "detach") {
@@ -179,7 +179,7 @@
     entries_due_ = in_range(line.integer("Elements", 0), 0, 10'000'000, "Elements");
     if (entries_due_ == 0) end_list();
   } else if (name == "m") {
-    if (entries_due_ == 0) throw WireError("a list entry that was not announced");
+    if (entries_due_ == 0) throw ParseError("a list entry that was not announced");
     Server s;
     s.id = line.text("Server");
     s.zone = line.find("RegionPart") ? line.text("RegionPart") : "";
@@ -228,7 +228,7 @@
   } else if (name == "peer") {
     current();  // routers share nothing
   } else {
-    throw WireError("unknown message '" + std::string(name) + "'");
+    throw ParseError("unknown message '" + std::string(name) + "'");
   }
 }
 
--- a/src/drill/wire.hpp
+++ b/src/drill/wire.hpp
@@ -20,7 +20,7 @@
   std::string_view name() const { return name_; }
   /// The value, or nullptr when absent.
   const std::string_view* find(std::string_view key) const;
-  std::string_view text(std::string_view key) const;  ///< throws WireError when absent
+  std::string_view text(std::string_view key) const;  ///< throws ParseError when absent
   std::int64_t integer(std::string_view key) const;   ///< throws when absent or malformed
   std::int64_t integer(std::string_view key, std::int64_t absent) const;
   double number(std::string_view key, double absent) const;
@@ -33,17 +33,17 @@
 };
 
 /// The settings of an `enlist` line, whose pairs are named by path.
-SettingPairs pairs_by_path(const Line& line);
+SettingPairs setting_pairs(const Line& line);
 
 /// One action as a wire line, without its line end.
-std::string line_of(const Action& action);
+std::string format_action(const Action& action);
 
 /// All instances that one process hosts.
 class Adapter {
  public:
   /// Takes one line; returns the whole reply when it was `your_turn`, otherwise an empty string.
-  /// Throws WireError on a malformed line.
-  std::string take(std::string_view text);
+  /// Throws ParseError on a malformed line.
+  std::string process_line(std::string_view text);
   /// True between a `batch` line and its `your_turn`.
   bool in_batch() const { return in_batch_; }
 
--- a/src/extproc/orca.cpp
+++ b/src/extproc/orca.cpp
@@ -91,7 +91,7 @@
     put(ReportField::PerSecond, r);
   if (report.eps() > 0) put(ReportField::ErrorsPerSecond, report.eps());
   for (const auto& [name, value] : report.named_metrics())
-    if (auto field = robinseam::drill::report_field_of(name)) put(*field, value);
+    if (auto field = robinseam::drill::parse_report_field(name)) put(*field, value);
   return figures;
 }
 
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -33,10 +33,10 @@
   take(r.deadline, s.deadline_header);
   take(r.id, s.id_header);
   take(r.idempotency, s.idempotency_header);
-  r.read_type = s.read_type;
-  r.write_type = s.write_type;
-  r.first_tenant = s.first_tenant;
-  r.streams = s.streams;
+  r.read_type = s.read_class;
+  r.write_type = s.write_class;
+  r.first_tenant = s.default_tenant;
+  r.streams = s.max_streams;
   return r;
 }
 
@@ -108,11 +108,12 @@
       ++count;
       over_ = true;
     };
-    give_up(stalled_since_ && now - stalled_since_ > most.stall, server_.counts_.stalled);
-    give_up(!session_->greeted() && now - born_ > most.half_open, server_.counts_.half_open);
+    give_up(stalled_since_ && now - stalled_since_ > most.stall_timeout, server_.counts_.stalled);
+    give_up(!session_->greeted() && now - born_ > most.handshake_timeout,
+            server_.counts_.half_open);
     if (session_->open_calls() == 0) return;
     // A machine that has vanished says nothing, and its calls would stay for good.
-    if (!pinged_at_ && now - heard_at_ > most.keepalive) {
+    if (!pinged_at_ && now - heard_at_ > most.keepalive_interval) {
       pinged_at_ = now;
       session_->ping();
     }
@@ -220,7 +221,7 @@
       core_(core),
       settings_(settings),
       processor_(core, clock, *this, rules_of(settings), fields, std::move(address_of)) {
-  limits_.streams = static_cast<std::uint32_t>(settings.streams_per_connection);
+  limits_.streams = static_cast<std::uint32_t>(settings.max_streams_per_connection);
   limits_.header_bytes = static_cast<std::uint32_t>(settings.header_bytes);
   limits_.resets_per_s = static_cast<std::uint32_t>(settings.resets_per_s);
   limits_.pings_per_s = static_cast<std::uint32_t>(settings.pings_per_s);
@@ -249,7 +250,7 @@
   auto* s = static_cast<Server*>(self);
   Fd fd(::accept4(s->listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!fd) return;
-  if (s->connections_.size() >= s->settings_.connections) {
+  if (s->connections_.size() >= s->settings_.max_connections) {
     ++s->counts_.turned_away;
     return;
   }
@@ -269,7 +270,7 @@
   bool serving = s->serving();
   for (auto& [number, c] : s->connections_) {
     c->sweep(serving);
-    if (c->idle(now, s->settings_.idle)) {
+    if (c->idle(now, s->settings_.idle_timeout)) {
       ++s->counts_.idle;
       c->go_away();
     }
--- a/src/net/binary_rules.cpp
+++ b/src/net/binary_rules.cpp
@@ -5,7 +5,7 @@
 namespace arrowfork {
 
 /// Goes back to the last star alone: linear in practice, quadratic at worst, and never deeper.
-bool matches(std::string_view pattern, std::string_view text) {
+bool matches_pattern(std::string_view pattern, std::string_view text) {
   std::size_t p = 0, t = 0, star = pattern.npos, from = 0;
   while (t < text.size()) {
     if (p < pattern.size() && pattern[p] == '*') {
@@ -28,13 +28,13 @@
   const std::pair<std::string, std::string>* best = nullptr;
   for (const auto& one : tenants)
     if (key.starts_with(one.first) && (!best || one.first.size() > best->first.size())) best = &one;
-  return best ? best->second : first_tenant;
+  return best ? best->second : default_tenant;
 }
 
 bool BinaryRules::server_is_binary(const robinseam::Server& server) const {
   return std::any_of(servers.begin(), servers.end(), [&](const ServerRule& r) {
-    return (r.kind.empty() || matches(r.kind, server.kind)) &&
-           (r.id.empty() || matches(r.id, server.id));
+    return (r.kind.empty() || matches_pattern(r.kind, server.kind)) &&
+           (r.id.empty() || matches_pattern(r.id, server.id));
   });
 }
 
--- a/src/net/binary_rules.hpp
+++ b/src/net/binary_rules.hpp
@@ -11,14 +11,14 @@
 namespace arrowfork {
 
 /// Whether `text` is of the form of `pattern`, in which `*` stands for any bytes.
-bool matches(std::string_view pattern, std::string_view text);
+bool matches_pattern(std::string_view pattern, std::string_view text);
 
 struct BinaryRules {
   bool clients = false;  ///< the listener takes binary clients too
-  std::string read_type, write_type;
-  robinseam::Micros read_patience = 0, write_patience = 0;
+  std::string read_class, write_class;
+  robinseam::Micros read_deadline = 0, write_deadline = 0;
   std::vector<std::pair<std::string, std::string>> tenants;  ///< key prefix, tenant
-  std::string first_tenant;                                  ///< of keys with none of the prefixes
+  std::string default_tenant;                                ///< of keys with none of the prefixes
   bool cas_is_idempotency_key = false;                       ///< of clients' writes
   bool cas_is_server_key = false;  ///< and of those sent to binary servers
 
--- a/src/net/client_codec.cpp
+++ b/src/net/client_codec.cpp
@@ -162,8 +162,8 @@
   r.write = write;
   r.tenant = rules_.tenant_of(command.key);
   r.key = std::move(command.key);
-  r.type = write ? rules_.write_type : rules_.read_type;
-  r.patience = write ? rules_.write_patience : rules_.read_patience;
+  r.type = write ? rules_.write_class : rules_.read_class;
+  r.patience = write ? rules_.write_deadline : rules_.read_deadline;
   r.wants_flags = !write;
   if (write) {
     if (command.cas != 0) r.idempotency = receipt_of(command.cas);
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -187,11 +187,11 @@
   const ClassSettings* read = class_of("read_class", {Effect::Repeatable}, "repeatable");
   const ClassSettings* write =
       class_of("write_class", {Effect::Keyed, Effect::Once}, "by_key or once");
-  if (read) rules.read_type = read->name;
-  if (write) rules.write_type = write->name;
-  rules.read_patience = patience("read_deadline_ms", read);
-  rules.write_patience = patience("write_deadline_ms", write);
-  if (!settings.tenants.empty()) rules.first_tenant = settings.tenants.front().name;
+  if (read) rules.read_class = read->name;
+  if (write) rules.write_class = write->name;
+  rules.read_deadline = patience("read_deadline_ms", read);
+  rules.write_deadline = patience("write_deadline_ms", write);
+  if (!settings.tenants.empty()) rules.default_tenant = settings.tenants.front().name;
   if (auto it = json.find("tenants"); it != json.end()) {
     if (!it->is_array() || it->size() > kMaxRules)
       throw fail("tenants", "no list of at most " + std::to_string(kMaxRules));
@@ -247,14 +247,14 @@
                                                {"deadline_header", &s.deadline_header},
                                                {"id_header", &s.id_header},
                                                {"idempotency_header", &s.idempotency_header},
-                                               {"read_class", &s.read_type},
-                                               {"write_class", &s.write_type}};
+                                               {"read_class", &s.read_class},
+                                               {"write_class", &s.write_class}};
   std::size_t idle_s = 300, stall_ms = 2000, half_open_ms = 5000;
   std::size_t keepalive_ms = 10'000, keepalive_timeout_ms = 5000;
   std::map<std::string, std::size_t*> figures = {
-      {"connections", &s.connections},
-      {"streams", &s.streams},
-      {"streams_per_connection", &s.streams_per_connection},
+      {"connections", &s.max_connections},
+      {"streams", &s.max_streams},
+      {"streams_per_connection", &s.max_streams_per_connection},
       {"header_bytes", &s.header_bytes},
       {"resets_per_s", &s.resets_per_s},
       {"pings_per_s", &s.pings_per_s},
@@ -283,9 +283,9 @@
     }
   }
   auto ms = [](std::size_t figure) { return static_cast<robinseam::Micros>(figure) * 1000; };
-  s.idle = ms(idle_s * 1000);
-  s.stall = ms(stall_ms), s.half_open = ms(half_open_ms);
-  s.keepalive = ms(keepalive_ms), s.keepalive_timeout = ms(keepalive_timeout_ms);
+  s.idle_timeout = ms(idle_s * 1000);
+  s.stall_timeout = ms(stall_ms), s.handshake_timeout = ms(half_open_ms);
+  s.keepalive_interval = ms(keepalive_ms), s.keepalive_timeout = ms(keepalive_timeout_ms);
   if (s.listen.empty()) throw fail("listen", "missing");
   // Names of headers come in lower case over HTTP/2.
   for (const auto& [name, text] : texts)
@@ -301,9 +301,9 @@
     }
     throw fail(name, wanted.empty() ? "no class fits" : "'" + wanted + "' is no class that fits");
   };
-  type("read_class", s.read_type, true);
-  type("write_class", s.write_type, false);
-  if (!settings.tenants.empty()) s.first_tenant = settings.tenants.front().name;
+  type("read_class", s.read_class, true);
+  type("write_class", s.write_class, false);
+  if (!settings.tenants.empty()) s.default_tenant = settings.tenants.front().name;
   return s;
 }
 
@@ -332,7 +332,7 @@
   constexpr double kMb = 1 << 20, kSeconds = 1e6;
   for (const auto& [name, value] : json.items()) {
     if (name == "folder" && value.is_string()) {
-      s.folder = value.get<std::string>();
+      s.directory = value.get<std::string>();
       continue;
     }
     bool disk = name == "disk_mb", memory = name == "memory_mb", taken = name == "list_taken_s",
@@ -344,11 +344,12 @@
     double figure = value.get<double>();
     if (disk) s.disk_bytes = static_cast<std::size_t>(figure * kMb);
     if (memory) s.memory_bytes = static_cast<std::size_t>(figure * kMb);
-    if (taken) s.list_taken = static_cast<robinseam::Micros>(figure * kSeconds);
-    if (asked) s.list_asked = static_cast<robinseam::Micros>(figure * kSeconds);
+    if (taken) s.max_trusted_list_age = static_cast<robinseam::Micros>(figure * kSeconds);
+    if (asked) s.max_list_age = static_cast<robinseam::Micros>(figure * kSeconds);
   }
-  if (s.folder.empty()) throw ConfigError("store.folder: missing");
-  if (s.list_asked < s.list_taken) throw ConfigError("store.list_asked_s: under list_taken_s");
+  if (s.directory.empty()) throw ConfigError("store.folder: missing");
+  if (s.max_list_age < s.max_trusted_list_age)
+    throw ConfigError("store.list_asked_s: under list_taken_s");
   return s;
 }
 
@@ -375,14 +376,14 @@
     figure("sockets", sockets);
   }
   if (auto every = json.find("log_every_ms"); every != json.end())
-    c.log_every = log_every_of(scalar_text(*every));
-  if (sockets < kFewestSockets)
-    throw ConfigError("limits.sockets: under " + std::to_string(kFewestSockets));
+    c.log_interval = log_every_of(scalar_text(*every));
+  if (sockets < kMinDescriptors)
+    throw ConfigError("limits.sockets: under " + std::to_string(kMinDescriptors));
   c.memory_bytes = static_cast<std::size_t>(std::min(memory_mb, 1e6) * 1048576);
   c.sockets = static_cast<std::size_t>(std::min(sockets, 1e6));
   if (auto known = json.find("known"); known != json.end() && !known->is_null()) {
     try {
-      c.known = host_list_of(*known);
+      c.initial_list = host_list_of(*known);
     } catch (const ConfigError& e) {
       throw ConfigError(std::string("known: ") + e.what());
     }
@@ -393,8 +394,8 @@
   flatten(settings, "", pairs);
   try {
     robinseam::drill::SettingPairs by_path(pairs.begin(), pairs.end());
-    c.settings = robinseam::drill::settings_of(by_path);
-    c.links = robinseam::drill::link_settings_of(by_path);
+    c.settings = robinseam::drill::parse_settings(by_path);
+    c.connection_settings = robinseam::drill::parse_connection_settings(by_path);
   } catch (const std::runtime_error& e) {
     throw ConfigError(std::string("settings: ") + e.what());
   }
@@ -402,7 +403,7 @@
     c.binary = binary_of(*binary, c.settings);
   if (auto ext = json.find("ext_proc"); ext != json.end() && !ext->is_null()) {
     c.ext_proc = ext_proc_of(*ext, c.settings);
-    if (c.ext_proc->connections + 64 > c.sockets)
+    if (c.ext_proc->max_connections + 64 > c.sockets)
       throw ConfigError("ext_proc.connections: limits.sockets leaves no room for them");
   }
   if (auto store = json.find("store"); store != json.end() && !store->is_null())
@@ -421,7 +422,7 @@
   }
 }
 
-HostList parse_answer(const std::string& json) {
+HostList parse_discovery_answer(const std::string& json) {
   try {
     Json parsed = parse_json(json);
     HostList list = list_head_of(parsed);
@@ -438,7 +439,7 @@
   }
 }
 
-std::string text_of(const HostList& list) {
+std::string host_list_to_json(const HostList& list) {
   Json json = {{"seq", list.version}, {"whole", list.full}, {"hosts", Json::array()}};
   for (const Host& h : list.hosts) {
     const char* health = h.server.health == robinseam::Health::Ready      ? "active"
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -97,7 +97,7 @@
     std::string text(size, '\0');
     evbuffer_copyout(body, text.data(), size);
     try {
-      call->result_ = parse_answer(text);
+      call->result_ = parse_discovery_answer(text);
     } catch (const ConfigError& e) {
       call->record_invalid_answer(e.what());
     }
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -57,7 +57,7 @@
   ClientSide::Limits l;
   l.spare_connections = std::min(kSpareClientConnections, c.sockets / 16);
   std::size_t others = kReservedSockets + server_sockets(c) + l.spare_connections;
-  if (c.ext_proc) others += c.ext_proc->connections + 1;
+  if (c.ext_proc) others += c.ext_proc->max_connections + 1;
   if (!c.control.empty()) others += ControlServer::kMaxConnections + 1;
   l.connections = c.sockets > others ? c.sockets - others : 1;
   l.held_bytes = c.memory_bytes / 4;
@@ -74,9 +74,9 @@
                               1, kMaxConnectionsPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
-  l.attempts_per_connection = c.links.streams;
-  l.keepalive = c.links.keepalive;
-  l.dial_timeout = c.links.dial_timeout;
+  l.attempts_per_connection = c.connection_settings.attempts_per_connection;
+  l.keepalive = c.connection_settings.keepalive;
+  l.dial_timeout = c.connection_settings.dial_timeout;
   l.may_cancel = c.settings.may_cancel;
   l.streaming_buffer_bytes = c.memory_bytes / 8;
   return l;
@@ -84,7 +84,7 @@
 
 std::size_t max_open(const Config& c) {
   return std::min<std::size_t>(c.memory_bytes / kOpenRequestBytes,
-                               static_cast<std::size_t>(c.links.max_open));
+                               static_cast<std::size_t>(c.connection_settings.max_open_requests));
 }
 
 /// Turns the exception of the module's check of the settings into a ConfigError.
@@ -120,14 +120,15 @@
       core_(make_core(config, clock, *this)),
       servers_(base, clock_, *this, server_limits(config), &config_.settings.report_fields),
       clients_(base, clock_, core_, servers_, client_limits(config)),
-      discovery_(base, clock_, config.discovery, config.known, subscription_options(config), *this),
+      discovery_(base, clock_, config.discovery, config.initial_list, subscription_options(config),
+                 *this),
       disabled_servers_file_(state_path(config, ".bans")),
       recovery_(config.settings.routers, clock.now(), kListFreshTime),
       last_heartbeat_at_(clock.now()) {
   timer_event_.reset(event_new(base, -1, 0, on_timer, this));
   stop_event_.reset(event_new(base, -1, 0, on_stop_step, this));
   log_event_.reset(event_new(base, -1, EV_PERSIST, on_log, this));
-  timeval every = timeval_of(config_.log_every);
+  timeval every = timeval_of(config_.log_interval);
   event_add(log_event_.get(), &every);
   clients_.set_binary(config_.binary);
   clients_.set_stats([this] { return stats(); });
@@ -145,7 +146,7 @@
       clients_.listen_on(std::move(inherited.listener));
       clients_.suspend_accepting(true);
       try {
-        if (!inherited.list.empty()) config_.known = parse_host_list(inherited.list);
+        if (!inherited.list.empty()) config_.initial_list = parse_host_list(inherited.list);
       } catch (const ConfigError& e) {
         std::fprintf(stderr, "arrowfork: handover: list: %s\n", e.what());
       }
@@ -155,9 +156,9 @@
       operator_overrides_.set_disabled(*disabled, clock_.now());
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
-  HostList known = operator_overrides_.apply_list(config_.known);
+  HostList known = operator_overrides_.apply_list(config_.initial_list);
   servers_.apply_list(known);
-  core_.start(servers_of(known), config_.known_is_doubted);
+  core_.start(servers_of(known), config_.initial_list_unverified);
   recovery_.handed(clock_.now(), has_ready_server());
   log_settings();
   heartbeat_event_.reset(event_new(base, -1, EV_PERSIST, on_heartbeat, this));
@@ -204,15 +205,15 @@
 void Router::reload(const Config& next) {
   if (!parse_address(next.discovery))
     throw ConfigError("discovery: no address: '" + next.discovery + "'");
-  const std::pair<const char*, const std::string&> types[] = {{"read", next.binary.read_type},
-                                                              {"write", next.binary.write_type}};
+  const std::pair<const char*, const std::string&> types[] = {{"read", next.binary.read_class},
+                                                              {"write", next.binary.write_class}};
   for (const auto& [what, type] : types)
     if (!type.empty() && !core_.class_of(type))
       throw ConfigError(std::string("binary.") + what + "_class: '" + type +
                         "' is not a class of the active settings");
-  if (next.settings != config_.settings || next.links != config_.links ||
-      next.listen != config_.listen || next.ext_proc != config_.ext_proc ||
-      next.store != config_.store)
+  if (next.settings != config_.settings ||
+      next.connection_settings != config_.connection_settings || next.listen != config_.listen ||
+      next.ext_proc != config_.ext_proc || next.store != config_.store)
     std::fprintf(stderr,
                  "arrowfork: reload: changes of settings, listen, ext_proc and store take effect "
                  "at the next start\n");
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -82,7 +82,9 @@
   std::string on_control_call(const ControlCall& call) override;
   // Handover::Handler
   int listening_socket() override { return clients_.listener(); }
-  std::string server_list() override { return text_of(operator_overrides_.discovered_list()); }
+  std::string server_list() override {
+    return host_list_to_json(operator_overrides_.discovered_list());
+  }
   void on_successor_ready() override;
   void on_successor_lost() override;
   void on_client_handed_over(Fd&& client) override { clients_.adopt(std::move(client)); }
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -117,8 +117,8 @@
                static_cast<long long>(s.ask_within / kMillisecond),
                static_cast<long long>(s.drain_grace / kMillisecond),
                static_cast<long long>(core_.longest_deadline() / kMillisecond),
-               config_.known.version.empty() ? "none" : config_.known.version.c_str(),
-               config_.known.hosts.size(), config_.known_is_doubted ? 1 : 0);
+               config_.initial_list.version.empty() ? "none" : config_.initial_list.version.c_str(),
+               config_.initial_list.hosts.size(), config_.initial_list_unverified ? 1 : 0);
 }
 
 void Router::on_log(evutil_socket_t, short, void* self) {
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -235,7 +235,7 @@
     text.remove_prefix(std::min(text.size(), pair.size() + 1));
     std::size_t eq = pair.find('=');
     if (eq == pair.npos) continue;
-    auto field = robinseam::drill::report_field_of(pair.substr(0, eq));
+    auto field = robinseam::drill::parse_report_field(pair.substr(0, eq));
     auto value = number<double>(pair.substr(eq + 1));
     // Unreadable: skipped. Every field is a load, a time or a share: none is negative, and none is
     // so large that it could upset a mean.
--- a/src/store/keeping.cpp
+++ b/src/store/keeping.cpp
@@ -23,7 +23,7 @@
   limits_.disk_bytes = settings.disk_bytes;
   limits_.memory_bytes = settings.memory_bytes;
   store_ = Store(limits_);
-  std::shared_ptr<FileSystem> folder = real_folder(settings.folder);
+  std::shared_ptr<FileSystem> folder = real_folder(settings.directory);
   auto journal = std::make_shared<Journal>(folder, limits_);
   Journal::Opened opened;
   if (Fault fault = journal->open(opened); fault != Fault::None) {
@@ -32,7 +32,7 @@
   }
   std::fprintf(
       stderr, "arrowfork: store %s: %zu entries of %zu files, %zu places damaged, %zu bytes cut\n",
-      settings.folder.c_str(), opened.entries.size(), opened.files, opened.damaged, opened.cut);
+      settings.directory.c_str(), opened.entries.size(), opened.files, opened.damaged, opened.cut);
   store_.load(std::move(opened));
   committer_ = std::make_unique<Committer>(std::move(journal));
 }
@@ -55,7 +55,7 @@
     kept.names_any = std::any_of(list.hosts.begin(), list.hosts.end(), [](const auto& h) {
       return h.server.health == robinseam::Health::Ready;
     });
-    belief_ = judge(kept, owner_, wall_(), settings_.list_taken, settings_.list_asked);
+    belief_ = judge(kept, owner_, wall_(), settings_.max_trusted_list_age, settings_.max_list_age);
     std::fprintf(stderr, "arrowfork: store: the kept list %s, %.1f s old, is %s: %s\n",
                  list.version.c_str(), static_cast<double>(wall_() - kept.confirmed) / kSecond,
                  belief_.worth == Worth::Dropped ? "dropped"
@@ -63,9 +63,9 @@
                                                  : "taken",
                  belief_.why);
     // Whoever starts the process with a list knows better.
-    if (belief_.worth == Worth::Dropped || !config.known.hosts.empty()) return;
-    config.known = std::move(list);
-    config.known_is_doubted = belief_.worth == Worth::Asked;
+    if (belief_.worth == Worth::Dropped || !config.initial_list.hosts.empty()) return;
+    config.initial_list = std::move(list);
+    config.initial_list_unverified = belief_.worth == Worth::Asked;
   } catch (const std::exception& e) {
     belief_ = {Worth::Dropped, "it can't be read"};
     std::fprintf(stderr, "arrowfork: store: the kept list can't be read: %s\n", e.what());
@@ -74,12 +74,12 @@
 
 void Keeping::on_list_confirmed(const arrowfork::HostList& list) {
   if (!committer_) return;
-  std::string text = arrowfork::text_of(list);
+  std::string text = arrowfork::host_list_to_json(list);
   Micros now = wall_();
   if (text == last_text_ && now >= kept_at_ && now - kept_at_ < kConfirm) return;
   Json json = {{"owner", owner_}, {"confirmed_us", now}, {"list", Json::parse(text)}};
   Store::Token token = 0;
-  auto expires = static_cast<std::uint64_t>(now + settings_.list_asked);
+  auto expires = static_cast<std::uint64_t>(now + settings_.max_list_age);
   Fault fault = store_.put(kListKey, json.dump(), expires, token);
   if (fault != Fault::None) {
     ++dropped_;
@@ -103,7 +103,7 @@
 /// Once for each fault, and once when it is over.
 void Keeping::say(Fault fault, const char* what) {
   if (fault == std::exchange(said_, fault)) return;
-  std::fprintf(stderr, "arrowfork: store %s %s: %s\n", settings_.folder.c_str(),
+  std::fprintf(stderr, "arrowfork: store %s %s: %s\n", settings_.directory.c_str(),
                fault == Fault::None ? "is written again" : what, name_of(fault));
 }
 
--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -579,7 +579,7 @@
   EventBasePtr base(event_base_new());
   Clock clock;
   Router router(base.get(), c, clock);
-  c.binary.read_type = "other";
+  c.binary.read_class = "other";
   EXPECT_THROW(router.reload(c), ConfigError);
 }
 
--- a/tests/binary/rules_config_test.cpp
+++ b/tests/binary/rules_config_test.cpp
@@ -28,9 +28,9 @@
 TEST(BinaryConfig, DefaultsAreSafe) {
   BinaryRules rules = rules_of("{}");
   EXPECT_TRUE(rules.clients);
-  EXPECT_EQ(rules.read_type, "read");
-  EXPECT_EQ(rules.write_type, "put");  // by key; without one it is treated as once
-  EXPECT_EQ(rules.read_patience, 20 * kSecond);
+  EXPECT_EQ(rules.read_class, "read");
+  EXPECT_EQ(rules.write_class, "put");  // by key; without one it is treated as once
+  EXPECT_EQ(rules.read_deadline, 20 * kSecond);
   EXPECT_EQ(rules.tenant_of("anything"), "acme");
   EXPECT_FALSE(rules.cas_is_idempotency_key);
   EXPECT_FALSE(rules.cas_is_server_key);
@@ -49,9 +49,9 @@
     "write_deadline_ms":1500.5,"idempotency":"cas","server_idempotency":"cas",
     "tenants":[{"prefix":"z:","tenant":"zeta"},{"prefix":"z:a:","tenant":"acme"}],
     "servers":[{"kind":"bin"},{"kind":"std","id":"b-*"}]})");
-  EXPECT_EQ(rules.write_type, "pay");
-  EXPECT_EQ(rules.read_patience, 250 * kMillisecond);
-  EXPECT_EQ(rules.write_patience, 1'500'500);
+  EXPECT_EQ(rules.write_class, "pay");
+  EXPECT_EQ(rules.read_deadline, 250 * kMillisecond);
+  EXPECT_EQ(rules.write_deadline, 1'500'500);
   EXPECT_TRUE(rules.cas_is_idempotency_key && rules.cas_is_server_key);
   EXPECT_EQ(rules.tenant_of("z:1"), "zeta");
   EXPECT_EQ(rules.tenant_of("z:a:1"), "acme");
@@ -109,9 +109,9 @@
                                      {"a*ab", "aab", true},
                                      {"a*ab", "aabab", true},
                                      {"*a", "b", false}})
-    EXPECT_EQ(matches(pattern, text), fits) << pattern << ' ' << text;
+    EXPECT_EQ(matches_pattern(pattern, text), fits) << pattern << ' ' << text;
   std::string many(250, 'a');
-  EXPECT_FALSE(matches("*a*a*a*a*a*a*a*a*a*b", many));  // and in no long time
+  EXPECT_FALSE(matches_pattern("*a*a*a*a*a*a*a*a*a*b", many));  // and in no long time
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -25,11 +25,11 @@
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(c.sockets, 256u);
   EXPECT_EQ(c.memory_bytes, 128u << 20);
-  ASSERT_EQ(c.known.hosts.size(), 1u);
-  EXPECT_EQ(c.known.version, "1");
-  EXPECT_EQ(c.known.hosts[0].server.up_since, 1795833164450000);
-  EXPECT_EQ(c.known.hosts[0].server.health, robinseam::Health::Draining);
-  EXPECT_EQ(c.known.hosts[0].dial, "10.0.0.1:5");
+  ASSERT_EQ(c.initial_list.hosts.size(), 1u);
+  EXPECT_EQ(c.initial_list.version, "1");
+  EXPECT_EQ(c.initial_list.hosts[0].server.up_since, 1795833164450000);
+  EXPECT_EQ(c.initial_list.hosts[0].server.health, robinseam::Health::Draining);
+  EXPECT_EQ(c.initial_list.hosts[0].dial, "10.0.0.1:5");
   ASSERT_EQ(c.settings.classes.size(), 3u);
   EXPECT_EQ(c.settings.classes[1].name, "put");
   EXPECT_EQ(c.settings.classes[1].effect, robinseam::Effect::Keyed);
@@ -37,8 +37,8 @@
   EXPECT_EQ(c.settings.zones, std::vector<std::string>{"a"});
   EXPECT_EQ(c.settings.drain_grace, 2'500'000);
   EXPECT_TRUE(c.settings.must_ask);
-  EXPECT_EQ(c.links.streams, 32);
-  EXPECT_EQ(c.links.dial_timeout, 75'000);
+  EXPECT_EQ(c.connection_settings.attempts_per_connection, 32);
+  EXPECT_EQ(c.connection_settings.dial_timeout, 75'000);
 }
 
 TEST(Config, AStoreThatCannotBeUsedIsNamed) {
@@ -89,17 +89,19 @@
 }
 
 TEST(Answer, AnEntryThatCantBeUsedIsLeftOutAndTold) {
-  HostList list =
-      parse_answer(list_json(5, true,
-                             {host_json("s-1", "127.0.0.1:1", "asleep"), host_json("s-2", ""),
-                              host_json("s-3", "", "leaving"), host_json("s-4", "127.0.0.1:4")}));
+  HostList list = parse_discovery_answer(
+      list_json(5, true,
+                {host_json("s-1", "127.0.0.1:1", "asleep"), host_json("s-2", ""),
+                 host_json("s-3", "", "leaving"), host_json("s-4", "127.0.0.1:4")}));
   EXPECT_EQ(list.entry_error, "hosts: health 'asleep'");
   ASSERT_EQ(list.hosts.size(), 2u);
   EXPECT_EQ(list.hosts[0].server.id, "s-3");
   EXPECT_EQ(list.hosts[0].server.health, robinseam::Health::Draining);
   EXPECT_EQ(list.hosts[1].server.id, "s-4");
-  EXPECT_EQ(parse_answer(list_json(5, true, {host_json("s-4", "127.0.0.1:4")})).entry_error, "");
-  EXPECT_THROW(parse_answer("{\"seq\":5,\"whole\":true}"), ConfigError);
+  EXPECT_EQ(
+      parse_discovery_answer(list_json(5, true, {host_json("s-4", "127.0.0.1:4")})).entry_error,
+      "");
+  EXPECT_THROW(parse_discovery_answer("{\"seq\":5,\"whole\":true}"), ConfigError);
 }
 
 }  // namespace
--- a/tests/drill_lines.hpp
+++ b/tests/drill_lines.hpp
@@ -13,7 +13,7 @@
                const robinseam::Actions& actions) override {
     lines += std::to_string(now) + ' ' + call + ' ' + std::to_string(id) + '\n';
     for (const robinseam::Action& action : actions)
-      lines += "  " + robinseam::drill::line_of(action) + '\n';
+      lines += "  " + robinseam::drill::format_action(action) + '\n';
   }
   std::string lines;
 };
--- a/tests/extproc/seam_test.cpp
+++ b/tests/extproc/seam_test.cpp
@@ -42,7 +42,7 @@
 struct Decisions final : SeamTap {
   void on_call(Micros now, const char*, RequestId, const robinseam::Actions& actions) override {
     for (const robinseam::Action& action : actions)
-      lines += std::to_string(now) + ' ' + robinseam::drill::line_of(action) + '\n';
+      lines += std::to_string(now) + ' ' + robinseam::drill::format_action(action) + '\n';
   }
   std::string lines;
 };
--- a/tests/extproc/server_test.cpp
+++ b/tests/extproc/server_test.cpp
@@ -20,8 +20,8 @@
   ServerTest() {
     config_.hosts = {test::host_json("s-1", server_.address())};
     settings_.listen = "127.0.0.1:0";
-    settings_.read_type = "read";
-    settings_.write_type = "put";
+    settings_.read_class = "read";
+    settings_.write_class = "put";
   }
   void start() {
     std::promise<std::uint16_t> port;
@@ -120,8 +120,8 @@
 // What never speaks, what only begins to, and what falls silent with calls open: each is closed in
 // its time and counted, and its calls are gone.
 TEST_F(ServerTest, ConnectionsThatSayNothingAreClosedInTheirTime) {
-  settings_.half_open = 100 * kMillisecond;
-  settings_.keepalive = 100 * kMillisecond;
+  settings_.handshake_timeout = 100 * kMillisecond;
+  settings_.keepalive_interval = 100 * kMillisecond;
   settings_.keepalive_timeout = 100 * kMillisecond;
   start();
   TestConnection mute = TestConnection::to(port_), half = TestConnection::to(port_);
@@ -195,7 +195,7 @@
 }
 
 TEST_F(ServerTest, MoreConnectionsThanTheLimitAreClosedAndGarbageHarmsNobody) {
-  settings_.connections = 2;
+  settings_.max_connections = 2;
   start();
   TestConnection second = TestConnection::to(port_);
   auto call = ask("r1");
@@ -232,9 +232,9 @@
     text.insert(1, "\"ext_proc\":" + object + ",");
     try {
       Config config = parse_config(text);
-      return config.ext_proc->listen + ' ' + config.ext_proc->read_type + ' ' +
-             config.ext_proc->write_type + ' ' + config.ext_proc->key_header + ' ' +
-             std::to_string(config.ext_proc->streams);
+      return config.ext_proc->listen + ' ' + config.ext_proc->read_class + ' ' +
+             config.ext_proc->write_class + ' ' + config.ext_proc->key_header + ' ' +
+             std::to_string(config.ext_proc->max_streams);
     } catch (const ConfigError& e) {
       return e.what();
     }
--- a/tests/store/belief_test.cpp
+++ b/tests/store/belief_test.cpp
@@ -72,17 +72,17 @@
 
 TEST(Keeping, GivesTheListBackByItsAge) {
   Folder f;
-  EXPECT_TRUE(f.given().known.hosts.empty());
+  EXPECT_TRUE(f.given().initial_list.hosts.empty());
   f.keep()->on_list_confirmed(list());
   arrowfork::Config c = f.given();
-  ASSERT_EQ(c.known.hosts.size(), 1u);
-  EXPECT_EQ(c.known.version, "7");
-  EXPECT_FALSE(c.known_is_doubted);
+  ASSERT_EQ(c.initial_list.hosts.size(), 1u);
+  EXPECT_EQ(c.initial_list.version, "7");
+  EXPECT_FALSE(c.initial_list_unverified);
   f.now += 60 * kS;
-  EXPECT_TRUE(f.given().known_is_doubted);
-  EXPECT_TRUE(f.given("you").known.hosts.empty());
+  EXPECT_TRUE(f.given().initial_list_unverified);
+  EXPECT_TRUE(f.given("you").initial_list.hosts.empty());
   f.now += 600 * kS;
-  EXPECT_TRUE(f.given().known.hosts.empty());
+  EXPECT_TRUE(f.given().initial_list.hosts.empty());
 }
 
 TEST(Keeping, AFolderThatCannotBeUsedIsToldAndNothingElse) {
@@ -95,11 +95,11 @@
   second->on_list_confirmed(list());
   second.reset();
   first.reset();
-  EXPECT_EQ(f.given().known.hosts.size(), 1u);
-  std::ofstream(f.settings.folder + "/0000000000000000.log")
+  EXPECT_EQ(f.given().initial_list.hosts.size(), 1u);
+  std::ofstream(f.settings.directory + "/0000000000000000.log")
       << text_of(Header{kVersion + 1, Kind::Log, 0});
   EXPECT_EQ(state(*f.keep()), "not_used");
-  f.settings.folder = f.settings.folder + "/0000000000000000.log/under";
+  f.settings.directory = f.settings.directory + "/0000000000000000.log/under";
   EXPECT_EQ(state(*f.keep()), "not_used");
 }
 
@@ -109,21 +109,21 @@
     auto keeping = f.keep();
     for (int j = 0; j < 3; ++j, f.now += 6 * kS) keeping->on_list_confirmed(list());
   }
-  EXPECT_EQ(f.given().known.version, "7");
+  EXPECT_EQ(f.given().initial_list.version, "7");
   // The last word of the last life, 12 s ago, is the one that counts, also where it came late.
   f.now -= 6 * kS;
-  EXPECT_FALSE(f.given().known_is_doubted);
+  EXPECT_FALSE(f.given().initial_list_unverified);
   std::size_t files = 0;
-  for (const auto& file : std::filesystem::directory_iterator(f.settings.folder))
+  for (const auto& file : std::filesystem::directory_iterator(f.settings.directory))
     files += file.path().filename() != "LOCK";
   EXPECT_LE(files, 2u);  // a snapshot, and the segment behind it
-  EXPECT_EQ(check(f.settings.folder), 0);
-  EXPECT_EQ(dump(f.settings.folder), 0);
-  EXPECT_EQ(compact(f.settings.folder), 0);
+  EXPECT_EQ(check(f.settings.directory), 0);
+  EXPECT_EQ(dump(f.settings.directory), 0);
+  EXPECT_EQ(compact(f.settings.directory), 0);
   auto in_service = f.keep();
-  EXPECT_EQ(compact(f.settings.folder), 2);
-  EXPECT_EQ(check(f.settings.folder), 0);
-  EXPECT_EQ(check(f.settings.folder + "/none"), 2);
+  EXPECT_EQ(compact(f.settings.directory), 2);
+  EXPECT_EQ(check(f.settings.directory), 0);
+  EXPECT_EQ(check(f.settings.directory + "/none"), 2);
 }
 
 /// A disk that hangs in its next sync until it is let go.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -17,7 +17,7 @@
 
 std::string play(Adapter& a, const std::vector<std::string>& lines) {
   std::string reply;
-  for (const std::string& line : lines) reply += a.take(line);
+  for (const std::string& line : lines) reply += a.process_line(line);
   return reply;
 }
 
@@ -25,14 +25,14 @@
   Adapter a;
   try {
     play(a, lines);
-  } catch (const WireError& e) {
+  } catch (const ParseError& e) {
     return e.what();
   }
   return "";
 }
 
 TEST(Wire, SettingsAreReadAndUnknownOnesSkipped) {
-  Settings s = settings_of(pairs_by_path(Line(kEnlist)));
+  Settings s = parse_settings(setting_pairs(Line(kEnlist)));
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].name, "read");
   EXPECT_EQ(s.classes[0].effect, Effect::Keyed);
@@ -51,20 +51,20 @@
 }
 
 TEST(Wire, ActionsAreWritten) {
-  EXPECT_EQ(line_of(Send{7, "h:1", 80}), "route Tid=7 Server=h:1 PatienceUs=80");
-  EXPECT_EQ(line_of(Send{7, "h:1", 0}), "route Tid=7 Server=h:1");
-  EXPECT_EQ(line_of(Refuse{7, 9}), "deny Tid=7 WaitUs=9");
-  EXPECT_EQ(line_of(Refuse{7, 0}), "deny Tid=7");
-  EXPECT_EQ(line_of(Fail{7}), "drop_request Tid=7");
-  EXPECT_EQ(line_of(Cancel{7, 2}), "call_off Tid=7 SendNo=2");
-  EXPECT_EQ(line_of(Watch{}), "follow Want=1");
-  EXPECT_EQ(line_of(Fetch{}), "pull");
-  EXPECT_EQ(line_of(Timer{5, 6}), "wake_at SpanUs=5 Nonce=6");
-  EXPECT_EQ(line_of(Probe{"h:1"}), "health_check Server=h:1");
+  EXPECT_EQ(format_action(Send{7, "h:1", 80}), "route Tid=7 Server=h:1 PatienceUs=80");
+  EXPECT_EQ(format_action(Send{7, "h:1", 0}), "route Tid=7 Server=h:1");
+  EXPECT_EQ(format_action(Refuse{7, 9}), "deny Tid=7 WaitUs=9");
+  EXPECT_EQ(format_action(Refuse{7, 0}), "deny Tid=7");
+  EXPECT_EQ(format_action(Fail{7}), "drop_request Tid=7");
+  EXPECT_EQ(format_action(Cancel{7, 2}), "call_off Tid=7 SendNo=2");
+  EXPECT_EQ(format_action(Watch{}), "follow Want=1");
+  EXPECT_EQ(format_action(Fetch{}), "pull");
+  EXPECT_EQ(format_action(Timer{5, 6}), "wake_at SpanUs=5 Nonce=6");
+  EXPECT_EQ(format_action(Probe{"h:1"}), "health_check Server=h:1");
 }
 
 TEST(Wire, WrittenActionsReadBack) {
-  std::string text = line_of(Send{4503599627370495ULL, "10.0.0.1:80", 123});
+  std::string text = format_action(Send{4503599627370495ULL, "10.0.0.1:80", 123});
   Line line(text);
   EXPECT_EQ(line.name(), "route");
   EXPECT_EQ(line.integer("Tid"), 4503599627370495LL);
