--- a/src/store/disk_list_persistence.cpp
+++ b/src/store/disk_list_persistence.cpp
@@ -23,7 +23,7 @@
   limits_.disk_bytes = settings.disk_bytes;
   limits_.memory_bytes = settings.memory_bytes;
   store_ = Store(limits_);
-  std::shared_ptr<FileSystem> folder = real_file_system(settings.folder);
+  std::shared_ptr<FileSystem> folder = real_file_system(settings.directory);
   auto journal = std::make_shared<Journal>(folder, limits_);
   Journal::Contents opened;
   if (Error fault = journal->open(opened); fault != Error::None) {
@@ -32,8 +32,8 @@
   }
   std::fprintf(stderr,
                "arrowfork: store %s: %zu entries of %zu files, %zu places damaged, %zu bytes cut\n",
-               settings.folder.c_str(), opened.entries.size(), opened.files, opened.damaged_places,
-               opened.trailing_bytes);
+               settings.directory.c_str(), opened.entries.size(), opened.files,
+               opened.damaged_places, opened.trailing_bytes);
   store_.load(std::move(opened));
   committer_ = std::make_unique<Committer>(std::move(journal));
 }
@@ -56,7 +56,8 @@
     kept.has_usable_server = std::any_of(list.hosts.begin(), list.hosts.end(), [](const auto& h) {
       return h.server.health == robinseam::Health::Ready;
     });
-    trust_ = assess_trust(kept, owner_, wall_(), settings_.list_taken, settings_.list_asked);
+    trust_ =
+        assess_trust(kept, owner_, wall_(), settings_.max_trusted_list_age, settings_.max_list_age);
     std::fprintf(stderr, "arrowfork: store: the kept list %s, %.1f s old, is %s: %s\n",
                  list.version.c_str(), static_cast<double>(wall_() - kept.confirmed) / kSecond,
                  trust_.trust == ListTrust::Discarded    ? "dropped"
@@ -64,9 +65,9 @@
                                                          : "taken",
                  trust_.reason);
     // Whoever starts the process with a list knows better.
-    if (trust_.trust == ListTrust::Discarded || !config.known.hosts.empty()) return;
-    config.known = std::move(list);
-    config.known_is_doubted = trust_.trust == ListTrust::Unverified;
+    if (trust_.trust == ListTrust::Discarded || !config.initial_list.hosts.empty()) return;
+    config.initial_list = std::move(list);
+    config.initial_list_unverified = trust_.trust == ListTrust::Unverified;
   } catch (const std::exception& e) {
     trust_ = {ListTrust::Discarded, "it can't be read"};
     std::fprintf(stderr, "arrowfork: store: the kept list can't be read: %s\n", e.what());
@@ -75,12 +76,12 @@
 
 void DiskListPersistence::on_list_confirmed(const arrowfork::HostList& list) {
   if (!committer_) return;
-  std::string text = arrowfork::text_of(list);
+  std::string text = arrowfork::host_list_to_json(list);
   Micros now = wall_();
   if (text == last_text_ && now >= kept_at_ && now - kept_at_ < kConfirm) return;
   Json json = {{"owner", owner_}, {"confirmed_us", now}, {"list", Json::parse(text)}};
   Store::Sequence token = 0;
-  auto expires = static_cast<std::uint64_t>(now + settings_.list_asked);
+  auto expires = static_cast<std::uint64_t>(now + settings_.max_list_age);
   Error fault = store_.put(kListKey, json.dump(), expires, token);
   if (fault != Error::None) {
     ++dropped_;
@@ -104,7 +105,7 @@
 /// Once for each fault, and once when it is over.
 void DiskListPersistence::say(Error fault, const char* what) {
   if (fault == std::exchange(said_, fault)) return;
-  std::fprintf(stderr, "arrowfork: store %s %s: %s\n", settings_.folder.c_str(),
+  std::fprintf(stderr, "arrowfork: store %s %s: %s\n", settings_.directory.c_str(),
                fault == Error::None ? "is written again" : what, name_of(fault));
 }
 
