--- a/src/app/config_reloader.hpp
+++ b/src/app/config_reloader.hpp
@@ -1,6 +1,6 @@
-// Takes a new configuration over at SIGHUP, and tries again for a while where that fails: the file
-// may be half written, or the read may fail for a moment (EMFILE, EIO). The signal comes once, and
-// the address of discovery that it stands for is needed within seconds.
+// Reloads the configuration on SIGHUP, with retries for a while if that fails: the file may be half
+// written, or reading it may fail for a moment (EMFILE, EIO). The signal is sent only once, and the
+// new discovery address that it may announce is needed within seconds.
 #pragma once
 
 #include <functional>
@@ -12,35 +12,35 @@
 
 class ConfigReloader {
  public:
-  /// Reads the configuration and takes it over; throws std::exception where that can't be done,
-  /// with nothing changed.
+  /// Reads and applies the configuration. Throws std::exception if that is not possible, and then
+  /// changes nothing.
   using Reload = std::function<void()>;
-  /// Told of each new reason, and of the end of the tries.
-  using Complain = std::function<void(const std::string&)>;
-  /// Pauses between tries double from the first to the last.
-  struct Pauses {
-    Micros first = 50 * kMillisecond;
-    Micros last = kSecond;
-    Micros give_up = 10 * kSecond;  ///< so long after the signal
+  /// Receives the reason of a failure whenever it changes, and when the retries end.
+  using ReportError = std::function<void(const std::string&)>;
+  /// The delay between attempts doubles from `initial` up to `max`.
+  struct RetryDelays {
+    Micros initial = 50 * kMillisecond;
+    Micros max = kSecond;
+    Micros give_up_after = 10 * kSecond;  ///< counted from the signal
   };
 
-  ConfigReloader(event_base* base, const TimeSource& clock, Reload reload, Complain complain,
-                 const Pauses& pauses);
-  /// SIGHUP has come. Tries for an earlier one end.
-  void hang_up();
+  ConfigReloader(event_base* base, const TimeSource& clock, Reload reload, ReportError report_error,
+                 const RetryDelays& delays);
+  /// Starts a reload. Retries for an earlier signal end.
+  void on_sighup();
 
  private:
-  void attempt();
+  void try_reload();
   static void on_retry(evutil_socket_t, short, void* self);
 
   const TimeSource& clock_;
   Reload reload_;
-  Complain complain_;
-  Pauses pauses_;
+  ReportError report_error_;
+  RetryDelays delays_;
   EventPtr retry_;
-  Micros asked_at_ = 0;
-  Micros pause_ = 0;
-  std::string told_;  // the reason that was told last
+  Micros signaled_at_ = 0;
+  Micros delay_ = 0;
+  std::string last_reported_;  // the reason reported last
 };
 
 }  // namespace arrowfork
--- a/src/app/wheeldeal.cpp
+++ b/src/app/wheeldeal.cpp
@@ -1,4 +1,5 @@
-// wheeldeal: everything the project has under one name. `run` is the same router as arrowfork.
+// wheeldeal: the router, the test rigs and the tools as subcommands of one program. `run` is the
+// same router as arrowfork, with the store and ext_proc.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -23,7 +24,7 @@
 int check(const std::string& file) {
   try {
     arrowfork::Config c = arrowfork::load_config(file);
-    // What the module would say at the start.
+    // Reports settings that the balancer would reject at the start.
     robinseam::Balancer(c.settings, c.seed, 0);
     std::printf(
         "%s: good: %s listens on %s, %zu classes, %zu known servers; binary clients %s, "
@@ -37,9 +38,10 @@
   }
 }
 
-std::unique_ptr<arrowfork::Frontend> ext_proc(event_base* base, const arrowfork::TimeSource& clock,
-                                              arrowfork::Router& router,
-                                              const arrowfork::Config& config) {
+std::unique_ptr<arrowfork::Frontend> make_ext_proc(event_base* base,
+                                                   const arrowfork::TimeSource& clock,
+                                                   arrowfork::Router& router,
+                                                   const arrowfork::Config& config) {
   if (!config.ext_proc) return nullptr;
   auto server = std::make_unique<arrowfork::extproc::Server>(
       base, clock, router.core(), *config.ext_proc, router.report_fields(),
@@ -49,12 +51,12 @@
   return server;
 }
 
-arrowfork::Micros wall() {
+arrowfork::Micros unix_now() {
   using namespace std::chrono;
   return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
 }
 
-std::string own_program() {
+std::string own_path() {
   char path[4096];
   ssize_t size = ::readlink("/proc/self/exe", path, sizeof path);
   return size > 0 ? std::string(path, static_cast<std::size_t>(size)) : "wheeldeal";
@@ -63,61 +65,64 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("wheeldeal: a router between clients and cache servers that speak memcached");
+  CLI::App app("wheeldeal: a router between clients and memcached-speaking cache servers");
   app.set_version_flag("--version", "wheeldeal " ARROWFORK_VERSION);
   app.require_subcommand(1);
   std::string file;
   int status = 0;
-  CLI::App* run = app.add_subcommand("run", "serve until SIGTERM; SIGHUP reads the file again");
-  run->add_option("file", file, "configuration (JSON); without it, the one NODE_CONFIG names");
+  CLI::App* run =
+      app.add_subcommand("run", "run one router until SIGTERM; SIGHUP reloads the configuration");
+  run->add_option("file", file, "configuration (JSON); default: the file that NODE_CONFIG names");
   run->callback([&] {
-    std::unique_ptr<wheeldeal::store::Keeping> keeping;  // of the first configuration
+    std::unique_ptr<wheeldeal::store::Keeping> keeping;  // opened with the first configuration
     auto load = [&] {
       auto config = file.empty() ? arrowfork::load_config() : arrowfork::load_config(file);
       if (config.store && !keeping) {
-        keeping = std::make_unique<wheeldeal::store::Keeping>(*config.store, config.name, wall);
+        keeping = std::make_unique<wheeldeal::store::Keeping>(*config.store, config.name, unix_now);
         keeping->give(config);
       }
       return config;
     };
-    auto attach = [&](event_base* base, const arrowfork::TimeSource& clock,
-                      arrowfork::Router& router, const arrowfork::Config& config) {
+    auto make_frontend = [&](event_base* base, const arrowfork::TimeSource& clock,
+                             arrowfork::Router& router, const arrowfork::Config& config) {
       router.set_list_persistence(keeping.get());
-      return ext_proc(base, clock, router, config);
+      return make_ext_proc(base, clock, router, config);
     };
-    status = arrowfork::serve(load, attach);
+    status = arrowfork::serve(load, make_frontend);
   });
-  CLI::App* checked = app.add_subcommand("check", "say whether a configuration can be used");
-  checked->add_option("file", file, "configuration (JSON)")->required();
-  checked->callback([&] { status = check(file); });
+  CLI::App* check_command = app.add_subcommand("check", "check whether a configuration is valid");
+  check_command->add_option("file", file, "configuration (JSON)")->required();
+  check_command->callback([&] { status = check(file); });
   wheeldeal::account::Options account;
-  CLI::App* summed = app.add_subcommand(
-      "account", "sum the figures of a tier's logs, second by second, and say who acted when");
-  summed->add_option("path", account.paths, "logs, or folders of *.log files, a file a router")
+  CLI::App* account_command = app.add_subcommand(
+      "account", "sum the statistics in a tier's logs per second, and show when each router acted");
+  account_command
+      ->add_option("path", account.paths, "log files, or folders with *.log files, one per router")
       ->required()
       ->check(CLI::ExistingPath);
-  summed
-      ->add_option("--events", account.events,
-                   "CSV of what really happened: seconds,server,down|up")
+  account_command
+      ->add_option("--events", account.events, "CSV of the actual events: seconds,server,down|up")
       ->check(CLI::ExistingFile);
-  summed->add_option("--csv", account.csv, "file for all rows");
-  summed->add_option("--servers-csv", account.servers_csv, "file for attempts by server");
-  summed->add_option("--html", account.html, "file for a page with plots");
-  summed->add_option("--rows", account.rows, "of the table, at most")
+  account_command->add_option("--csv", account.csv, "CSV file to write all rows to");
+  account_command->add_option("--servers-csv", account.servers_csv,
+                              "CSV file to write the attempts per server to");
+  account_command->add_option("--html", account.html, "HTML file to write plots to");
+  account_command->add_option("--rows", account.rows, "most rows to print in the table")
       ->check(CLI::Range(1, 100'000))
       ->capture_default_str();
-  summed->callback([&] { status = wheeldeal::account::run(account); });
+  account_command->callback([&] { status = wheeldeal::account::run(account); });
   arrowfork::rig::ShowOptions show;
   CLI::App* rig = app.add_subcommand(
-      "rig", "a whole service on loopback with faults; exit status 0 where the rules held");
-  rig->add_option("--caches", show.caches, "cache servers")->check(CLI::Range(2, 200));
-  rig->add_option("--binary", show.binary, "of them binary")->check(CLI::Range(1, 199));
-  rig->add_option("--routers", show.routers, "routers")->check(CLI::Range(1, 16));
-  rig->add_option("--rate", show.rate, "requests a second of each protocol's tills")
+      "rig", "run a whole service with faults on loopback; exit status 0 if all rules held");
+  rig->add_option("--caches", show.caches, "number of cache servers")->check(CLI::Range(2, 200));
+  rig->add_option("--binary", show.binary, "how many of them speak the binary protocol")
+      ->check(CLI::Range(1, 199));
+  rig->add_option("--routers", show.routers, "number of routers")->check(CLI::Range(1, 16));
+  rig->add_option("--rate", show.rate, "requests per second of each protocol's tills")
       ->check(CLI::Range(1.0, 20'000.0));
-  rig->add_option("--fault-seconds", show.fault_s, "how long each fault lasts")
+  rig->add_option("--fault-seconds", show.fault_s, "duration of each fault")
       ->check(CLI::Range(0.1, 60.0));
-  rig->add_option("--fault", show.faults, "play these faults only; may be given again")
+  rig->add_option("--fault", show.faults, "inject only this fault; may be repeated")
       ->check([](const std::string& name) -> std::string {
         try {
           arrowfork::rig::fault_of(name);
@@ -126,83 +131,92 @@
           return e.what();
         }
       });
-  rig->add_flag("!--no-changes", show.changes, "no server leaves or joins, no reload");
+  rig->add_flag("!--no-changes", show.changes,
+                "without servers that leave or join, and without reloads");
   rig->add_option("--slack-ms", show.slack_ms,
-                  "what the machine may take on top of each time limit")
+                  "tolerance on top of each time limit, for slow machines")
       ->check(CLI::Range(0.0, 60'000.0));
-  rig->add_option("--seed", show.seed, "of keys, times and routers");
+  rig->add_option("--seed", show.seed, "random seed of keys, times and routers");
   rig->callback([&] {
-    if (show.binary >= show.caches) throw CLI::ValidationError("--binary", "not under --caches");
-    show.program = own_program();
+    if (show.binary >= show.caches)
+      throw CLI::ValidationError("--binary", "must be less than --caches");
+    show.program = own_path();
     status = arrowfork::rig::show(show);
   });
   arrowfork::rig::StormOptions storm;
-  CLI::App* stormy = app.add_subcommand(
-      "storm", "tills that ask again at once, over a fleet in trouble that ends; a table a day");
+  CLI::App* storm_command = app.add_subcommand(
+      "storm",
+      "retry storm: tills that retry at once, during a fault that ends; one table per trigger");
   std::vector<std::string> names;
   for (const auto& one : arrowfork::emu::named_triggers()) names.emplace_back(one.name);
-  stormy->add_option("trigger", storm.triggers, "what goes wrong, one day each")
+  storm_command->add_option("trigger", storm.triggers, "kind of fault, one run each")
       ->required()
       ->check(CLI::IsMember(names));
-  stormy->add_option("--load", storm.load, "first tries, of the fleet's capacity")
+  storm_command
+      ->add_option("--load", storm.load, "first tries, as a share of the servers' capacity")
       ->check(CLI::Range(0.01, 20.0))
       ->capture_default_str();
-  stormy->add_option("--servers", storm.servers, "cache servers")
+  storm_command->add_option("--servers", storm.servers, "number of cache servers")
       ->check(CLI::Range(2, 60))
       ->capture_default_str();
-  stormy->add_option("--cores", storm.cores, "of each")
+  storm_command->add_option("--cores", storm.cores, "cores of each server")
       ->check(CLI::Range(1, 16))
       ->capture_default_str();
-  stormy->add_option("--routers", storm.routers, "routers")
+  storm_command->add_option("--routers", storm.routers, "number of routers")
       ->check(CLI::Range(1, 16))
       ->capture_default_str();
-  stormy->add_option("--tries", storm.tries, "of one till, the first among them")
+  storm_command->add_option("--tries", storm.tries, "tries of one till, including the first")
       ->check(CLI::Range(1, 20))
       ->capture_default_str();
-  stormy->add_option("--begins", storm.begins_s, "s until the trigger")
+  storm_command->add_option("--begins", storm.begins_s, "seconds before the trigger")
       ->check(CLI::Range(3.0, 600.0))
       ->capture_default_str();
-  stormy->add_option("--after", storm.after_s, "s after its end")
+  storm_command->add_option("--after", storm.after_s, "seconds after the end of the trigger")
       ->check(CLI::Range(3.0, 600.0))
       ->capture_default_str();
-  stormy->add_option("--back-within", storm.back_within_s, "s until 95% of before is served again")
+  storm_command
+      ->add_option("--back-within", storm.back_within_s,
+                   "seconds within which 95% of the earlier rate must be served again")
       ->capture_default_str();
-  stormy->add_flag("!--only-rules", storm.require_back, "service that is late back fails no day");
-  stormy
+  storm_command->add_flag("!--only-rules", storm.require_back, "late recovery does not fail a run");
+  storm_command
       ->add_option("--slack-ms", storm.slack_ms,
-                   "what the machine may take on top of each time limit")
+                   "tolerance on top of each time limit, for slow machines")
       ->check(CLI::Range(0.0, 60'000.0));
-  stormy->add_option("--seed", storm.seed, "of keys, times and routers");
-  stormy->callback([&] {
-    storm.program = own_program();
+  storm_command->add_option("--seed", storm.seed, "random seed of keys, times and routers");
+  storm_command->callback([&] {
+    storm.program = own_path();
     status = arrowfork::rig::storm(storm);
   });
   arrowfork::tier::TierOptions tier;
   std::string scenario;
   bool only_check = false;
-  CLI::App* tiered = app.add_subcommand(
-      "tier", "play a scenario: many routers, faults between them, an account; 0 where all held");
-  tiered->add_option("file", scenario, "scenario (TOML)");
+  CLI::App* tier_command = app.add_subcommand("tier",
+                                              "run a scenario with many routers and faults and "
+                                              "report on it; exit status 0 if all claims held");
+  tier_command->add_option("file", scenario, "scenario (TOML)");
   std::uint64_t drains = 0;
   bool pushed = false;
-  tiered->add_option("--drains", drains,
-                     "in place of a file: drains with faults around them, drawn from this seed");
-  tiered->add_flag("--pushed", pushed, "with --drains: lists are pushed");
-  tiered->add_flag("--check", only_check, "say whether the file can be used, and play nothing");
-  tiered->add_option("--json", tier.json, "file for the result");
-  tiered->add_option("--html", tier.html, "file for a page with plots");
-  tiered->add_option("--logs", tier.logs, "folder for the routers' logs")
+  tier_command->add_option("--drains", drains,
+                           "instead of a file: random drains and faults from this seed");
+  tier_command->add_flag("--pushed", pushed, "with --drains: discovery pushes lists");
+  tier_command->add_flag("--check", only_check, "only check whether the file is valid");
+  tier_command->add_option("--json", tier.json, "JSON file to write the result to");
+  tier_command->add_option("--html", tier.html, "HTML file to write plots to");
+  tier_command->add_option("--logs", tier.logs, "folder for the routers' logs")
       ->check(CLI::ExistingDirectory);
-  tiered->add_option("--arrowfork", tier.arrowfork, "the lean program; else beside this one")
+  tier_command
+      ->add_option("--arrowfork", tier.arrowfork,
+                   "path of arrowfork; default: in the folder of this program")
       ->check(CLI::ExistingFile);
-  tiered->add_flag("--quiet", tier.quiet, "no table");
-  tiered->callback([&] {
-    tier.wheeldeal = own_program();
+  tier_command->add_flag("--quiet", tier.quiet, "print no table");
+  tier_command->callback([&] {
+    tier.wheeldeal = own_path();
     if (tier.arrowfork.empty())
       tier.arrowfork = std::filesystem::path(tier.wheeldeal).replace_filename("arrowfork").string();
     try {
-      if (scenario.empty() == (tiered->count("--drains") == 0))
-        throw std::runtime_error("wheeldeal tier: a file or --drains, one of the two");
+      if (scenario.empty() == (tier_command->count("--drains") == 0))
+        throw std::runtime_error("wheeldeal tier: give either a file or --drains");
       auto read = scenario.empty() ? arrowfork::tier::drain_scenario(drains, pushed)
                                    : arrowfork::tier::read_scenario(scenario);
       status = only_check ? 0 : arrowfork::tier::play(read, tier);
@@ -211,19 +225,21 @@
       status = arrowfork::tier::kUnusable;
     }
   });
-  CLI::App* kept = app.add_subcommand("store", "look at a router's kept state, or compact it");
-  kept->require_subcommand(1);
+  CLI::App* store_command =
+      app.add_subcommand("store", "inspect or compact the persisted state of a router");
+  store_command->require_subcommand(1);
   std::string folder;
-  auto with_folder = [&](const char* name, const char* what, int (*act)(const std::string&)) {
-    CLI::App* one = kept->add_subcommand(name, what);
-    one->add_option("folder", folder, "as the configuration's store.folder")->required();
+  auto add_store_command = [&](const char* name, const char* what, int (*act)(const std::string&)) {
+    CLI::App* one = store_command->add_subcommand(name, what);
+    one->add_option("folder", folder, "the store.folder of the configuration")->required();
     one->callback([&, act] { status = act(folder); });
   };
-  with_folder("dump", "every entry: change, key, until when, value", wheeldeal::store::dump);
-  with_folder("check", "0 where all is whole, 1 where something is damaged",
-              wheeldeal::store::check);
-  with_folder("compact", "one snapshot in the place of all; its router must be down",
-              wheeldeal::store::compact);
+  add_store_command("dump", "print every entry: change, key, expiry, value",
+                    wheeldeal::store::dump);
+  add_store_command("check", "exit status 0 if all files are intact, 1 if any is damaged",
+                    wheeldeal::store::check);
+  add_store_command("compact", "replace all files by one snapshot; the router must be stopped",
+                    wheeldeal::store::compact);
   CLI11_PARSE(app, argc, argv);
   return status;
 }
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -1,4 +1,4 @@
-// Time as it is handed to everything that needs it.
+// Sources of time. Code that needs the time is given one, so that tests can control it.
 #pragma once
 
 #include <chrono>
@@ -12,15 +12,15 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1'000'000;
 
-/// Microseconds that never run backwards.
+/// Time in microseconds that never goes backwards.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
   virtual Micros now() const = 0;
 };
 
-/// Monotonic time whose origin is Unix time at the start: it never steps, and a `born_ms` from
-/// discovery is a time on it without conversion.
+/// Monotonic time that equals Unix time at the start of the process: it never jumps, and `born_ms`
+/// from discovery can be compared with it without conversion.
 class Clock final : public TimeSource {
  public:
   Clock() : origin_(unix_now() - monotonic_now()) {}
--- a/src/io/io.hpp
+++ b/src/io/io.hpp
@@ -1,4 +1,4 @@
-// Owners of file descriptors and libevent objects.
+// RAII owners of file descriptors and libevent objects, and helpers for sockets and addresses.
 #pragma once
 
 #include <event2/event.h>
@@ -47,13 +47,13 @@
   return {static_cast<time_t>(span / kSecond), static_cast<suseconds_t>(span % kSecond)};
 }
 
-/// A socket that listens on `address`; none with the reason in `error`. `shared`: another process
-/// may listen there too (SO_REUSEPORT).
+/// Opens a socket that listens on `address`. On failure returns an empty Fd and sets `error`. With
+/// `shared`, another process may listen on the same address (SO_REUSEPORT).
 Fd listen_at(const sockaddr_in& address, bool shared, std::string& error);
-/// The port that a socket got.
+/// The local port that a socket is bound to.
 std::uint16_t port_of(const Fd& socket);
 
-/// The address of "1.2.3.4:5", or nothing where the text is none.
+/// Parses an IPv4 address and port such as "1.2.3.4:5"; nullopt if the text is not one.
 std::optional<sockaddr_in> parse_address(const std::string& text);
 
 }  // namespace arrowfork
--- a/src/io/log_limit.hpp
+++ b/src/io/log_limit.hpp
@@ -1,4 +1,4 @@
-// Bounds how many lines of one kind go into the log, so that a storm of events can't fill it. Pure.
+// Limits the rate of log lines of one kind, so that a burst of events cannot fill the log.
 #pragma once
 
 #include <algorithm>
@@ -9,13 +9,13 @@
 
 namespace arrowfork {
 
-/// A token bucket over log lines: a burst, then a steady rate. What is suppressed is counted.
+/// A token bucket for log lines: a burst, then a steady rate. Counts the suppressed lines.
 class LogLimit {
  public:
   LogLimit(double burst, double lines_per_second)
       : burst_(burst), rate_(lines_per_second), tokens_(burst) {}
 
-  /// Whether a line may be written at `now`. Times must not run backwards.
+  /// Whether a line may be written at `now`, which must not go backwards.
   [[nodiscard]] bool allow(Micros now) {
     double passed = static_cast<double>(now - last_) / static_cast<double>(kSecond);
     tokens_ = std::min(burst_, tokens_ + std::max(0.0, passed) * rate_);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// arrowfork: one router. Reads what it is told, starts, and ends on SIGTERM.
+// arrowfork: one router, configured by the file that NODE_CONFIG names, until SIGTERM.
 #include "app/serve.hpp"
 
 int main() {
--- a/tests/app/check.sh
+++ b/tests/app/check.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# `wheeldeal check` on a good file and on bad ones. $1 is the program.
+# `wheeldeal check` accepts a valid configuration, and rejects invalid ones with an error that names
+# the setting or file; `wheeldeal run` reports the same error. $1 is the program.
 set -eu
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
@@ -11,14 +12,14 @@
 END
 "$1" check "$dir/good.json" | grep -q 'good: n0 .*binary clients on, 1 rules' || exit 1
 sed 's/"servers"/"server"/' "$dir/good.json" >"$dir/bad.json"
-"$1" check "$dir/bad.json" 2>"$dir/said" && exit 1
-grep -q 'bad.json: binary.server: no such setting$' "$dir/said" || { cat "$dir/said"; exit 1; }
+"$1" check "$dir/bad.json" 2>"$dir/stderr" && exit 1
+grep -q 'bad.json: binary.server: no such setting$' "$dir/stderr" || { cat "$dir/stderr"; exit 1; }
 echo '{"listen":' >"$dir/cut.json"
 "$1" check "$dir/cut.json" 2>/dev/null && exit 1
-"$1" check "$dir/none.json" 2>"$dir/said" && exit 1
-grep -q 'cannot read' "$dir/said" || exit 1
-"$1" run "$dir/bad.json" 2>"$dir/said" && exit 1
-grep -q 'binary.server: no such setting$' "$dir/said" || exit 1
+"$1" check "$dir/none.json" 2>"$dir/stderr" && exit 1
+grep -q 'cannot read' "$dir/stderr" || exit 1
+"$1" run "$dir/bad.json" 2>"$dir/stderr" && exit 1
+grep -q 'binary.server: no such setting$' "$dir/stderr" || exit 1
 "$1" check "$(dirname "$0")/../../deploy/wheeldeal.json" | grep -q "2 rules for binary servers$"
 "$1" check "$(dirname "$0")/../../deploy/extproc.json" >/dev/null
 "$1" --version | grep -q '^wheeldeal [0-9]'
--- a/tests/app/config_reloader_test.cpp
+++ b/tests/app/config_reloader_test.cpp
@@ -1,4 +1,4 @@
-// A signal that comes once, and a file that can't be read at that moment.
+// SIGHUP is sent only once, and the configuration may be unreadable at that moment.
 #include "app/config_reloader.hpp"
 
 #include <gtest/gtest.h>
@@ -10,64 +10,64 @@
 namespace {
 
 struct Fixture {
-  explicit Fixture(const ConfigReloader::Pauses& pauses)
+  explicit Fixture(const ConfigReloader::RetryDelays& delays)
       : reloader(
             base.get(), clock, [this] { reload(); },
-            [this](const std::string& reason) { told.push_back(reason); }, pauses) {}
+            [this](const std::string& reason) { reported.push_back(reason); }, delays) {}
   void reload() {
     ++tries;
-    if (tries <= failing) throw std::runtime_error(reasons[tries <= 1 ? 0 : 1]);
-    ++taken;
+    if (tries <= failures) throw std::runtime_error(reasons[tries <= 1 ? 0 : 1]);
+    ++applied;
   }
   void run() { event_base_dispatch(base.get()); }
 
   Clock clock;
   EventBasePtr base{event_base_new()};
-  int tries = 0, failing = 0, taken = 0;
+  int tries = 0, failures = 0, applied = 0;
   const char* reasons[2] = {"no descriptor", "half a file"};
-  std::vector<std::string> told;
+  std::vector<std::string> reported;
   ConfigReloader reloader;
 };
 
-constexpr ConfigReloader::Pauses kQuick{kMillisecond, 4 * kMillisecond, kSecond};
+constexpr ConfigReloader::RetryDelays kShortDelays{kMillisecond, 4 * kMillisecond, kSecond};
 
-TEST(ConfigReloader, AFileThatCanBeReadIsTakenOnce) {
-  Fixture f(kQuick);
-  f.reloader.hang_up();
+TEST(ConfigReloader, AReadableFileIsAppliedOnce) {
+  Fixture f(kShortDelays);
+  f.reloader.on_sighup();
   f.run();
   EXPECT_EQ(f.tries, 1);
-  EXPECT_EQ(f.taken, 1);
-  EXPECT_TRUE(f.told.empty());
+  EXPECT_EQ(f.applied, 1);
+  EXPECT_TRUE(f.reported.empty());
 }
 
-TEST(ConfigReloader, AReadThatFailsForAWhileIsTriedAgainAndEachReasonToldOnce) {
-  Fixture f(kQuick);
-  f.failing = 5;
-  f.reloader.hang_up();
+TEST(ConfigReloader, AFailedReadIsRetriedAndEachReasonIsReportedOnce) {
+  Fixture f(kShortDelays);
+  f.failures = 5;
+  f.reloader.on_sighup();
   f.run();
   EXPECT_EQ(f.tries, 6);
-  EXPECT_EQ(f.taken, 1);
-  EXPECT_EQ(f.told, (std::vector<std::string>{"no descriptor", "half a file"}));
+  EXPECT_EQ(f.applied, 1);
+  EXPECT_EQ(f.reported, (std::vector<std::string>{"no descriptor", "half a file"}));
 }
 
-TEST(ConfigReloader, AFileThatStaysBadIsGivenUp) {
+TEST(ConfigReloader, RetriesEndWhileTheFileStaysInvalid) {
   Fixture f({kMillisecond, 4 * kMillisecond, 20 * kMillisecond});
-  f.failing = 1'000'000;
-  f.reloader.hang_up();
+  f.failures = 1'000'000;
+  f.reloader.on_sighup();
   f.run();
-  EXPECT_EQ(f.taken, 0);
+  EXPECT_EQ(f.applied, 0);
   EXPECT_GE(f.tries, 2);
-  EXPECT_EQ(f.told.back(), "given up: half a file");
+  EXPECT_EQ(f.reported.back(), "giving up: half a file");
 }
 
-TEST(ConfigReloader, ASecondSignalBeginsAnew) {
+TEST(ConfigReloader, ASecondSignalStartsAgain) {
   Fixture f({kSecond * 100, kSecond * 100, kSecond * 1000});
-  f.failing = 1;
-  f.reloader.hang_up();
-  EXPECT_EQ(f.taken, 0);
-  f.reloader.hang_up();
-  EXPECT_EQ(f.taken, 1);
-  f.run();  // nothing is planned any more
+  f.failures = 1;
+  f.reloader.on_sighup();
+  EXPECT_EQ(f.applied, 0);
+  f.reloader.on_sighup();
+  EXPECT_EQ(f.applied, 1);
+  f.run();  // no retry is scheduled any more
   EXPECT_EQ(f.tries, 2);
 }
 
--- a/tests/app/reload_retry.sh
+++ b/tests/app/reload_retry.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# SIGHUP while the configuration is half written: it is taken as soon as it is whole, without another
-# signal. $1 is the program.
+# SIGHUP while the configuration file is half written: the router applies it as soon as it is
+# complete, without another signal. $1 is the program.
 set -u
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
--- a/tests/io/log_limit_test.cpp
+++ b/tests/io/log_limit_test.cpp
@@ -5,7 +5,7 @@
 namespace arrowfork {
 namespace {
 
-TEST(LogLimit, ABurstPassesThenLinesAtTheSteadyRate) {
+TEST(LogLimit, AllowsABurstThenTheSteadyRate) {
   LogLimit limit(3, 2);
   Micros now = 100 * kSecond;
   for (int k = 0; k < 3; ++k) EXPECT_TRUE(limit.allow(now));
@@ -17,7 +17,7 @@
   EXPECT_FALSE(limit.allow(now + 500 * kMillisecond));
 }
 
-TEST(LogLimit, AQuietTimeEarnsNoMoreThanTheBurst) {
+TEST(LogLimit, IdleTimeEarnsNoMoreThanOneBurst) {
   LogLimit limit(2, 1);
   EXPECT_TRUE(limit.allow(0));
   int passed = 0;
