--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,4 @@
-// Speaks the simulator's wire on standard input and output; see wire.hpp.
+// Runs the simulator's protocol on standard input and output; see wire.hpp.
 #include <iostream>
 #include <string>
 
@@ -9,17 +9,17 @@
   std::cin.tie(nullptr);
   robinseam::drill::Adapter adapter;
   std::string line;
-  std::uint64_t number = 0;
+  std::uint64_t line_number = 0;
   try {
     while (std::getline(std::cin, line)) {
-      ++number;
+      ++line_number;
       if (line.empty()) continue;
       std::string reply = adapter.process_line(line);
       if (!reply.empty()) std::cout << reply << std::flush;
     }
     if (adapter.in_batch()) throw robinseam::drill::ParseError("input ends inside a batch");
   } catch (const std::exception& e) {
-    std::cerr << "robinseam_drill: line " << number << ": " << e.what() << '\n';
+    std::cerr << "robinseam_drill: line " << line_number << ": " << e.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/drill/settings.cpp
+++ b/src/drill/settings.cpp
@@ -6,25 +6,25 @@
 namespace robinseam::drill {
 namespace {
 
-constexpr Words<Effect, 3> kEffect{
+constexpr NameTable<Effect, 3> kEffectNames{
     {{"repeatable", Effect::Repeatable}, {"by_key", Effect::Keyed}, {"once", Effect::Once}}};
-constexpr Words<Group, 3> kGroup{
+constexpr NameTable<Group, 3> kGroupNames{
     {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}}};
-constexpr Words<ReportField, 8> kField{{{"concurrent", ReportField::InFlight},
-                                        {"depth", ReportField::Queue},
-                                        {"load_share", ReportField::Utilization},
-                                        {"mean_ms", ReportField::LatencyMs},
-                                        {"tps", ReportField::PerSecond},
-                                        {"err_ps", ReportField::ErrorsPerSecond},
-                                        {"x0", ReportField::HitShare},
-                                        {"x1", ReportField::FetchesOut}}};
+constexpr NameTable<ReportField, 8> kReportFieldNames{{{"concurrent", ReportField::InFlight},
+                                                       {"depth", ReportField::Queue},
+                                                       {"load_share", ReportField::Utilization},
+                                                       {"mean_ms", ReportField::LatencyMs},
+                                                       {"tps", ReportField::PerSecond},
+                                                       {"err_ps", ReportField::ErrorsPerSecond},
+                                                       {"x0", ReportField::HitShare},
+                                                       {"x1", ReportField::FetchesOut}}};
 
 }  // namespace
 
 std::int64_t to_integer(std::string_view text, std::string_view what) {
   std::int64_t value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) throw bad(what, text);
+  if (error != std::errc() || end != text.data() + text.size()) throw bad_value(what, text);
   return value;
 }
 
@@ -32,40 +32,42 @@
   double value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
-    throw bad(what, text);
+    throw bad_value(what, text);
   return value;
 }
 
 std::optional<ReportField> parse_report_field(std::string_view name) {
-  return look_up(kField, name);
+  return look_up(kReportFieldNames, name);
 }
 
 namespace {
 
-/// Typed look-ups by path; an absent or empty value gives the default.
-struct Reader {
+/// Typed look-ups by path; a missing or empty value gives the default.
+struct SettingReader {
   const SettingPairs& by_path;
 
   std::string_view text(const std::string& path) const {
     auto it = by_path.find(path);
     return it == by_path.end() ? std::string_view() : it->second;
   }
-  double number(const std::string& path, double absent) const {
-    return text(path).empty() ? absent : to_number(text(path), path);
+  double number(const std::string& path, double default_value) const {
+    return text(path).empty() ? default_value : to_number(text(path), path);
   }
-  std::int64_t integer(const std::string& path, std::int64_t absent) const {
-    return text(path).empty() ? absent : to_integer(text(path), path);
+  std::int64_t integer(const std::string& path, std::int64_t default_value) const {
+    return text(path).empty() ? default_value : to_integer(text(path), path);
   }
 };
 
 }  // namespace
 
 Settings parse_settings(const SettingPairs& by_path) {
-  Reader read{by_path};
+  SettingReader read{by_path};
   auto text = [&](const std::string& path) { return read.text(path); };
-  auto number = [&](const std::string& path, double absent) { return read.number(path, absent); };
-  auto integer = [&](const std::string& path, std::int64_t absent) {
-    return read.integer(path, absent);
+  auto number = [&](const std::string& path, double default_value) {
+    return read.number(path, default_value);
+  };
+  auto integer = [&](const std::string& path, std::int64_t default_value) {
+    return read.integer(path, default_value);
   };
   auto flag = [&](const std::string& path) {
     return !text(path).empty() && to_flag(text(path), path);
@@ -76,26 +78,28 @@
 
   Settings s;
   for (std::int64_t k = 0; k < count("Classes.count"); ++k) {
-    std::string at = "Classes." + std::to_string(k) + ".";
+    std::string prefix = "Classes." + std::to_string(k) + ".";
     ClassSettings c;
-    c.name = text(at + "Name");
-    c.aim = integer(at + "ObjectiveUs", 0);
-    c.deadline = integer(at + "DeadlineUs", 0);
-    c.worth = number(at + "Worth", 1);
-    c.late_worth = number(at + "LateWorth", 0);
-    if (!text(at + "Effect").empty()) c.effect = word(kEffect, text(at + "Effect"), at + "Effect");
-    if (!text(at + "Group").empty()) c.group = word(kGroup, text(at + "Group"), at + "Group");
-    c.key_ttl = integer(at + "KeyTtlUs", 0);
-    c.streamed = flag(at + "Streamed");
+    c.name = text(prefix + "Name");
+    c.aim = integer(prefix + "ObjectiveUs", 0);
+    c.deadline = integer(prefix + "DeadlineUs", 0);
+    c.worth = number(prefix + "Worth", 1);
+    c.late_worth = number(prefix + "LateWorth", 0);
+    if (!text(prefix + "Effect").empty())
+      c.effect = parse_name(kEffectNames, text(prefix + "Effect"), prefix + "Effect");
+    if (!text(prefix + "Group").empty())
+      c.group = parse_name(kGroupNames, text(prefix + "Group"), prefix + "Group");
+    c.key_ttl = integer(prefix + "KeyTtlUs", 0);
+    c.streamed = flag(prefix + "Streamed");
     s.classes.push_back(std::move(c));
   }
   for (std::int64_t k = 0; k < count("Tenants.count"); ++k) {
-    std::string at = "Tenants." + std::to_string(k) + ".";
-    s.tenants.push_back(
-        {std::string(text(at + "Name")), number(at + "Portion", 0), number(at + "QuotaPerS", 0)});
+    std::string prefix = "Tenants." + std::to_string(k) + ".";
+    s.tenants.push_back({std::string(text(prefix + "Name")), number(prefix + "Portion", 0),
+                         number(prefix + "QuotaPerS", 0)});
   }
   for (std::string_view name : split(text("Report.Fields"), ','))
-    s.report_fields.push_back(look_up(kField, name).value_or(ReportField::Unknown));
+    s.report_fields.push_back(look_up(kReportFieldNames, name).value_or(ReportField::Unknown));
   s.zone = text("Az");
   for (std::string_view zone : split(text("FailureDomains"), ',')) s.zones.emplace_back(zone);
   s.aside = text("Domain.Mode") == "aside";
@@ -129,10 +133,10 @@
 }
 
 ConnectionSettings parse_connection_settings(const SettingPairs& by_path) {
-  Reader read{by_path};
+  SettingReader read{by_path};
   ConnectionSettings l;
-  auto positive = [&](const char* path, std::int64_t absent) {
-    return in_range(read.integer(path, absent), 1, std::int64_t{1} << 50, path);
+  auto positive = [&](const char* path, std::int64_t default_value) {
+    return in_range(read.integer(path, default_value), 1, std::int64_t{1} << 50, path);
   };
   l.attempts_per_connection = static_cast<int>(std::min<std::int64_t>(
       positive("Limits.StreamsPerConn", l.attempts_per_connection), 1'000'000));
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -3,34 +3,34 @@
 namespace robinseam::drill {
 namespace {
 
-constexpr Words<Status, 9> kStatus{{{"completed", Status::Ok},
-                                    {"errored", Status::Error},
-                                    {"saturated", Status::Full},
-                                    {"overdue", Status::Timeout},
-                                    {"refused_conn", Status::ConnectFailed},
-                                    {"severed", Status::Reset},
-                                    {"recalled", Status::Cancelled},
-                                    {"superseded", Status::Moot},
-                                    {"lookup_miss", Status::Miss}}};
-RequestId request_id(const Line& line) {
+constexpr NameTable<Status, 9> kStatusNames{{{"completed", Status::Ok},
+                                             {"errored", Status::Error},
+                                             {"saturated", Status::Full},
+                                             {"overdue", Status::Timeout},
+                                             {"refused_conn", Status::ConnectFailed},
+                                             {"severed", Status::Reset},
+                                             {"recalled", Status::Cancelled},
+                                             {"superseded", Status::Moot},
+                                             {"lookup_miss", Status::Miss}}};
+RequestId parse_request_id(const Line& line) {
   return static_cast<RequestId>(
       in_range(line.integer("Tid"), 0, (std::int64_t{1} << 52) - 1, "Tid"));
 }
 
-Micros span(const Line& line, std::string_view key, Micros absent) {
-  return in_range(line.integer(key, absent), 0, std::int64_t{1} << 60, key);
+Micros parse_duration(const Line& line, std::string_view key, Micros default_value) {
+  return in_range(line.integer(key, default_value), 0, std::int64_t{1} << 60, key);
 }
 
-Micros span(const Line& line, std::string_view key) {
+Micros parse_duration(const Line& line, std::string_view key) {
   line.text(key);
-  return span(line, key, 0);
+  return parse_duration(line, key, 0);
 }
 
-int attempt_of(const Line& line) {
+int parse_attempt(const Line& line) {
   return static_cast<int>(in_range(line.integer("SendNo"), 0, 1'000'000, "SendNo"));
 }
 
-std::vector<double> report_of(const Line& line) {
+std::vector<double> parse_report(const Line& line) {
   std::vector<double> report;
   if (const auto* text = line.find("Gauge"))
     for (std::string_view part : split(*text, ',')) report.push_back(to_number(part, "Gauge"));
@@ -68,19 +68,19 @@
 
 std::int64_t Line::integer(std::string_view key) const { return to_integer(text(key), key); }
 
-std::int64_t Line::integer(std::string_view key, std::int64_t absent) const {
+std::int64_t Line::integer(std::string_view key, std::int64_t default_value) const {
   const auto* value = find(key);
-  return value ? to_integer(*value, key) : absent;
+  return value ? to_integer(*value, key) : default_value;
 }
 
-double Line::number(std::string_view key, double absent) const {
+double Line::number(std::string_view key, double default_value) const {
   const auto* value = find(key);
-  return value ? to_number(*value, key) : absent;
+  return value ? to_number(*value, key) : default_value;
 }
 
-bool Line::flag(std::string_view key, bool absent) const {
+bool Line::flag(std::string_view key, bool default_value) const {
   const auto* value = find(key);
-  return value ? to_flag(*value, key) : absent;
+  return value ? to_flag(*value, key) : default_value;
 }
 
 SettingPairs setting_pairs(const Line& line) {
@@ -118,14 +118,14 @@
 std::string Adapter::process_line(std::string_view text) {
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
   Line line(text);
-  if (entries_due_ > 0 && line.name() != "m") throw ParseError("a list entry was due");
+  if (entries_expected_ > 0 && line.name() != "m") throw ParseError("expected a list entry");
   if (line.name() == "batch") {
-    if (in_batch_) throw ParseError("a batch inside a batch");
+    if (in_batch_) throw ParseError("batch inside a batch");
     Micros now = line.integer("NowUs");
-    if (seen_batch_ && now < now_) throw ParseError("the clock runs backwards");
+    if (seen_batch_ && now < now_) throw ParseError("NowUs goes backwards");
     now_ = now;
     in_batch_ = seen_batch_ = true;
-    who_.clear(), written_.clear(), reply_.clear();
+    instance_.clear(), reply_instance_.clear(), reply_.clear();
     return {};
   }
   if (!in_batch_) throw ParseError("'" + std::string(line.name()) + "' outside a batch");
@@ -133,53 +133,54 @@
     in_batch_ = false;
     return std::move(reply_) + "done\n";
   }
-  event(line);
+  handle_event(line);
   return {};
 }
 
-Balancer& Adapter::current() {
-  auto it = hosts_.find(who_);
-  if (it == hosts_.end()) throw ParseError("an event for '" + who_ + "' before its enlist");
+Balancer& Adapter::current_instance() {
+  auto it = instances_.find(instance_);
+  if (it == instances_.end()) throw ParseError("message for '" + instance_ + "' before its enlist");
   return *it->second;
 }
 
-void Adapter::emit(Actions actions) {
+void Adapter::append_actions(Actions actions) {
   if (actions.empty()) return;
-  if (written_ != who_) reply_ += "instance Who=" + who_ + "\n", written_ = who_;
+  if (reply_instance_ != instance_)
+    reply_ += "instance Who=" + instance_ + "\n", reply_instance_ = instance_;
   for (const Action& action : actions) reply_ += format_action(action), reply_ += '\n';
 }
 
-void Adapter::end_list() { emit(current().on_list(now_, scope_, entries_)); }
+void Adapter::deliver_list() { append_actions(current_instance().on_list(now_, scope_, entries_)); }
 
-void Adapter::event(const Line& line) {
+void Adapter::handle_event(const Line& line) {
   std::string_view name = line.name();
   if (name == "switch_to") {
-    who_ = line.text("Who");
-    if (who_.empty()) throw ParseError("switch_to without Who");
+    instance_ = line.text("Who");
+    if (instance_.empty()) throw ParseError("switch_to without Who");
     return;
   }
-  if (who_.empty()) throw ParseError("'" + std::string(name) + "' before switch_to");
+  if (instance_.empty()) throw ParseError("'" + std::string(name) + "' before switch_to");
   if (name == "enlist") {
     std::int64_t seed = line.integer("RngSeed");
     try {
-      hosts_[who_] = std::make_unique<Balancer>(parse_settings(setting_pairs(line)),
-                                                static_cast<std::uint64_t>(seed), now_);
+      instances_[instance_] = std::make_unique<Balancer>(parse_settings(setting_pairs(line)),
+                                                         static_cast<std::uint64_t>(seed), now_);
     } catch (const std::invalid_argument& e) {
       throw ParseError(e.what());
     }
-    emit(hosts_[who_]->start(now_));
+    append_actions(instances_[instance_]->start(now_));
   } else if (name == "detach") {
-    current();
-    hosts_.erase(who_);
+    current_instance();
+    instances_.erase(instance_);
   } else if (name == "membership") {
-    current();
+    current_instance();
     std::int64_t scope = in_range(line.integer("Scope"), 0, 3, "Scope");
     scope_ = static_cast<ListScope>(scope);
     entries_.clear();
-    entries_due_ = in_range(line.integer("Elements", 0), 0, 10'000'000, "Elements");
-    if (entries_due_ == 0) end_list();
+    entries_expected_ = in_range(line.integer("Elements", 0), 0, 10'000'000, "Elements");
+    if (entries_expected_ == 0) deliver_list();
   } else if (name == "m") {
-    if (entries_due_ == 0) throw ParseError("a list entry that was not announced");
+    if (entries_expected_ == 0) throw ParseError("list entry not announced by a membership line");
     Server s;
     s.id = line.text("Server");
     s.zone = line.find("RegionPart") ? line.text("RegionPart") : "";
@@ -187,46 +188,47 @@
     s.cell = line.integer("UnitGroup", -1);
     s.health = static_cast<Health>(in_range(line.integer("Health", 0), 0, 2, "Health"));
     s.weight = line.number("Share", 1);
-    if (s.weight < 0) throw bad("Share", line.text("Share"));
+    if (s.weight < 0) throw bad_value("Share", line.text("Share"));
     s.up_since = line.integer("UpSinceUs", 0);
     entries_.push_back(std::move(s));
-    if (--entries_due_ == 0) end_list();
+    if (--entries_expected_ == 0) deliver_list();
   } else if (name == "arrival") {
     Request r;
-    r.id = request_id(line);
+    r.id = parse_request_id(line);
     r.type = line.text("Type");
     if (const auto* v = line.find("Project")) r.tenant = *v;
     if (const auto* v = line.find("Entity")) r.key = *v;
-    r.remaining = span(line, "RemainingUs");
-    if (line.find("HintUs")) r.work = span(line, "HintUs");
+    r.remaining = parse_duration(line, "RemainingUs");
+    if (line.find("HintUs")) r.work = parse_duration(line, "HintUs");
     r.repeat = line.flag("Repeat");
     r.write = line.flag("Mutates");
-    emit(current().on_request(now_, r));
+    append_actions(current_instance().on_request(now_, r));
   } else if (name == "established") {
-    emit(current().on_first(now_, request_id(line), std::string(line.text("Server")),
-                            attempt_of(line), span(line, "LatencyUs", 0)));
+    append_actions(
+        current_instance().on_first(now_, parse_request_id(line), std::string(line.text("Server")),
+                                    parse_attempt(line), parse_duration(line, "LatencyUs", 0)));
   } else if (name == "verdict") {
     Outcome o;
-    o.id = request_id(line);
+    o.id = parse_request_id(line);
     o.finished = line.flag("Finished");
     o.server = line.text("Server");
-    o.status = word(kStatus, line.text("Rc"), "Rc");
-    o.latency = span(line, "LatencyUs", 0);
-    o.attempt = attempt_of(line);
+    o.status = parse_name(kStatusNames, line.text("Rc"), "Rc");
+    o.latency = parse_duration(line, "LatencyUs", 0);
+    o.attempt = parse_attempt(line);
     o.note = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
-    o.report = report_of(line);
-    emit(current().on_outcome(now_, o));
+    o.report = parse_report(line);
+    append_actions(current_instance().on_outcome(now_, o));
   } else if (name == "left") {
-    emit(current().on_gone(now_, request_id(line)));
+    append_actions(current_instance().on_gone(now_, parse_request_id(line)));
   } else if (name == "ring") {
-    emit(current().on_timer(
+    append_actions(current_instance().on_timer(
         now_, static_cast<std::uint64_t>(in_range(line.integer("Nonce"), 0, INT64_MAX, "Nonce"))));
   } else if (name == "check_result") {
-    emit(current().on_probe(now_, std::string(line.text("Server")),
-                            word(kStatus, line.text("Rc"), "Rc"), span(line, "LatencyUs", 0),
-                            report_of(line)));
+    append_actions(current_instance().on_probe(
+        now_, std::string(line.text("Server")), parse_name(kStatusNames, line.text("Rc"), "Rc"),
+        parse_duration(line, "LatencyUs", 0), parse_report(line)));
   } else if (name == "peer") {
-    current();  // routers share nothing
+    current_instance();  // routers share nothing
   } else {
     throw ParseError("unknown message '" + std::string(name) + "'");
   }
--- a/tests/drill_lines.hpp
+++ b/tests/drill_lines.hpp
@@ -1,4 +1,4 @@
-// The calls on the module and what it answered, as lines.
+// Records the calls on the balancer and the actions it returned, as text lines.
 #pragma once
 
 #include <string>
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -15,7 +15,7 @@
     "Tenants.0.Name=t "
     "Tenants.0.QuotaPerS=12.5";
 
-std::string play(Adapter& a, const std::vector<std::string>& lines) {
+std::string process_lines(Adapter& a, const std::vector<std::string>& lines) {
   std::string reply;
   for (const std::string& line : lines) reply += a.process_line(line);
   return reply;
@@ -24,14 +24,14 @@
 std::string error_of(const std::vector<std::string>& lines) {
   Adapter a;
   try {
-    play(a, lines);
+    process_lines(a, lines);
   } catch (const ParseError& e) {
     return e.what();
   }
   return "";
 }
 
-TEST(Wire, SettingsAreReadAndUnknownOnesSkipped) {
+TEST(Wire, SettingsAreReadAndUnknownOnesIgnored) {
   Settings s = parse_settings(setting_pairs(Line(kEnlist)));
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].name, "read");
@@ -50,7 +50,7 @@
   EXPECT_EQ(s.tenants[0].quota_per_s, 12.5);
 }
 
-TEST(Wire, ActionsAreWritten) {
+TEST(Wire, ActionsAreFormatted) {
   EXPECT_EQ(format_action(Send{7, "h:1", 80}), "route Tid=7 Server=h:1 PatienceUs=80");
   EXPECT_EQ(format_action(Send{7, "h:1", 0}), "route Tid=7 Server=h:1");
   EXPECT_EQ(format_action(Refuse{7, 9}), "deny Tid=7 WaitUs=9");
@@ -63,7 +63,7 @@
   EXPECT_EQ(format_action(Probe{"h:1"}), "health_check Server=h:1");
 }
 
-TEST(Wire, WrittenActionsReadBack) {
+TEST(Wire, FormattedActionsParseBack) {
   std::string text = format_action(Send{4503599627370495ULL, "10.0.0.1:80", 123});
   Line line(text);
   EXPECT_EQ(line.name(), "route");
@@ -72,26 +72,26 @@
   EXPECT_EQ(line.integer("PatienceUs"), 123);
 }
 
-TEST(Wire, AWholeExchange) {
+TEST(Wire, ABatchIsAnsweredWithActions) {
   Adapter a;
-  EXPECT_EQ(play(a, {"batch NowUs=100", "your_turn"}), "done\n");
-  std::string reply =
-      play(a, {"batch NowUs=200", "switch_to Who=router-1", kEnlist,
-               "membership Scope=2 Epoch=1 Elements=1",
-               "m Server=h:1 RegionPart=a Hw=std UnitGroup=0 Health=0 Share=1",
-               "arrival Tid=5 Type=read Entity=k RemainingUs=500000 Novel=1", "your_turn"});
+  EXPECT_EQ(process_lines(a, {"batch NowUs=100", "your_turn"}), "done\n");
+  std::string reply = process_lines(
+      a, {"batch NowUs=200", "switch_to Who=router-1", kEnlist,
+          "membership Scope=2 Epoch=1 Elements=1",
+          "m Server=h:1 RegionPart=a Hw=std UnitGroup=0 Health=0 Share=1",
+          "arrival Tid=5 Type=read Entity=k RemainingUs=500000 Novel=1", "your_turn"});
   EXPECT_EQ(reply.rfind("instance Who=router-1\n", 0), 0u) << reply;
   EXPECT_NE(reply.find("\nroute Tid=5 Server=h:1"), std::string::npos) << reply;
   EXPECT_EQ(reply.substr(reply.size() - 5), "done\n");
-  reply = play(
+  reply = process_lines(
       a, {"batch NowUs=20200", "switch_to Who=router-1",
           "verdict Tid=5 Finished=1 Server=h:1 Rc=completed LatencyUs=20000 SendNo=0 Gauge=0.5,2,1",
           "your_turn"});
   EXPECT_EQ(reply, "done\n");
-  play(a, {"batch NowUs=30000", "switch_to Who=router-1", "detach", kEnlist, "your_turn"});
+  process_lines(a, {"batch NowUs=30000", "switch_to Who=router-1", "detach", kEnlist, "your_turn"});
 }
 
-TEST(Wire, MalformedLinesAreNamed) {
+TEST(Wire, ErrorsNameTheMalformedField) {
   std::vector<std::string> start = {"batch NowUs=1", "switch_to Who=router-1", kEnlist};
   auto after = [&](std::string line) {
     auto lines = start;
