--- a/src/net/binary_rules.cpp
+++ b/src/net/binary_rules.cpp
@@ -4,18 +4,18 @@
 
 namespace arrowfork {
 
-/// Goes back to the last star alone: linear in practice, quadratic at worst, and never deeper.
+/// Backtracks only to the last star: linear in practice, quadratic at worst, and without recursion.
 bool matches_pattern(std::string_view pattern, std::string_view text) {
-  std::size_t p = 0, t = 0, star = pattern.npos, from = 0;
+  std::size_t p = 0, t = 0, star = pattern.npos, star_match_end = 0;
   while (t < text.size()) {
     if (p < pattern.size() && pattern[p] == '*') {
       star = p++;
-      from = t;
+      star_match_end = t;
     } else if (p < pattern.size() && pattern[p] == text[t]) {
       ++p, ++t;
     } else if (star != pattern.npos) {
       p = star + 1;
-      t = ++from;
+      t = ++star_match_end;
     } else {
       return false;
     }
@@ -26,8 +26,9 @@
 
 const std::string& BinaryRules::tenant_of(std::string_view key) const {
   const std::pair<std::string, std::string>* best = nullptr;
-  for (const auto& one : tenants)
-    if (key.starts_with(one.first) && (!best || one.first.size() > best->first.size())) best = &one;
+  for (const auto& entry : tenants)
+    if (key.starts_with(entry.first) && (!best || entry.first.size() > best->first.size()))
+      best = &entry;
   return best ? best->second : default_tenant;
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// What can't be used is named; what may be left out has a default.
+// Errors name the invalid setting, and optional settings have defaults.
 #include "net/config.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return "";
 }
 
-TEST(Config, IsReadWhole) {
+TEST(Config, AllSettingsAreRead) {
   ConfigText text;
   text.hosts = {host_json("s-1", "10.0.0.1:5", "leaving", 1795833164450)};
   Config c = parse_config(text.text());
@@ -41,15 +41,15 @@
   EXPECT_EQ(c.connection_settings.dial_timeout, 75'000);
 }
 
-TEST(Config, AStoreThatCannotBeUsedIsNamed) {
+TEST(Config, InvalidStoreSettingsAreNamed) {
   const std::pair<const char*, const char*> cases[] = {
-      {R"("here")", "store: no object"},
+      {R"("here")", "store: must be an object"},
       {"{}", "store.folder: missing"},
-      {R"({"folder":7})", "store.folder: no text"},
-      {R"({"folder":"f","foldre":"g"})", "store.foldre: no such name"},
-      {R"({"folder":"f","disk_mb":0})", "store.disk_mb: no number above 0"},
+      {R"({"folder":7})", "store.folder: must be a string"},
+      {R"({"folder":"f","foldre":"g"})", "store.foldre: no such setting"},
+      {R"({"folder":"f","disk_mb":0})", "store.disk_mb: must be a number above 0"},
       {R"({"folder":"f","list_taken_s":9,"list_asked_s":8})",
-       "store.list_asked_s: under list_taken_s"},
+       "store.list_asked_s: must not be below list_taken_s"},
       {R"({"folder":"f","memory_mb":2,"list_taken_s":9})", ""}};
   for (const auto& [store, error] : cases)
     EXPECT_EQ(error_of("{\"store\":" + std::string(store) + "," + ConfigText().text().substr(1)),
@@ -65,7 +65,7 @@
   EXPECT_NE(error_of(R"({"limits":{"sockets":"x"},"settings":{}})").find("limits.sockets"),
             std::string::npos);
   EXPECT_NE(error_of(R"({"known":{"seq":1},"settings":{}})").find("known"), std::string::npos);
-  EXPECT_EQ(error_of(R"({"control":"here","settings":{}})"), "control: no address: 'here'");
+  EXPECT_EQ(error_of(R"({"control":"here","settings":{}})"), "control: not an address: 'here'");
   EXPECT_NE(error_of(R"({"control":"127.0.0.1:1","limits":{"sockets":100},"settings":{}})")
                 .find("limits.sockets"),
             std::string::npos);
@@ -75,7 +75,7 @@
             std::string::npos);
 }
 
-TEST(Config, AListsEntriesAreChecked) {
+TEST(Config, InvalidHostListsAreRejected) {
   EXPECT_THROW(parse_host_list(R"({"seq":1,"whole":true,"hosts":[{"dial":"1.2.3.4:5"}]})"),
                ConfigError);
   EXPECT_THROW(
@@ -88,7 +88,7 @@
   EXPECT_EQ(gone.hosts[0].server.health, robinseam::Health::Gone);
 }
 
-TEST(Answer, AnEntryThatCantBeUsedIsLeftOutAndTold) {
+TEST(ParseDiscoveryAnswer, InvalidEntriesAreLeftOutAndReported) {
   HostList list = parse_discovery_answer(
       list_json(5, true,
                 {host_json("s-1", "127.0.0.1:1", "asleep"), host_json("s-2", ""),
--- a/tests/extproc/server_test.cpp
+++ b/tests/extproc/server_test.cpp
@@ -244,11 +244,11 @@
   EXPECT_EQ(complaint("{}"), "ext_proc.listen: missing");
   EXPECT_EQ(complaint(R"({"lisen":"a"})"), "ext_proc.lisen: no such setting");
   EXPECT_EQ(complaint(R"({"listen":"a","streams":0})"),
-            "ext_proc.streams: no whole number from 1 to 16777216");
+            "ext_proc.streams: must be a whole number from 1 to 16777216");
   EXPECT_EQ(complaint(R"({"listen":"a","read_class":"put"})"),
-            "ext_proc.read_class: 'put' is no class that fits");
+            "ext_proc.read_class: 'put' is not a class with the required effect");
   EXPECT_EQ(complaint(R"({"listen":"a","connections":250})"),
-            "ext_proc.connections: limits.sockets leaves no room for them");
+            "ext_proc.connections: too many for limits.sockets");
 }
 
 }  // namespace
--- a/tests/net/descriptors.sh
+++ b/tests/net/descriptors.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# If the process may have fewer descriptors than the configuration asks for, the router keeps to that
-# limit and logs it, and idle clients that would use them all do not block a new one. $1 is the program.
+# If the process may open fewer descriptors than the configuration asks for, the router uses the lower
+# limit and logs it. Idle clients that would use up all descriptors do not lock out a new client.
+# $1 is the program.
 set -u
 dir=$(mktemp -d)
 pid=
@@ -26,5 +27,5 @@
 [ "$answer" = $'MN\r' ] || { echo "answered '$answer'"; exit 1; }
 # With its listener and reserved descriptors, the process never had more open than it may.
 open=$(ls /proc/$pid/fd | wc -l)
-[ "$open" -lt 100 ] || { echo "$open open"; exit 1; }
-echo "as due"
+[ "$open" -lt 100 ] || { echo "$open descriptors open"; exit 1; }
+echo "as expected"
