--- a/include/robinseam/balancer.hpp
+++ b/include/robinseam/balancer.hpp
@@ -193,9 +193,9 @@
 using Actions = std::vector<Action>;
 
 namespace limits {
-class Rule;
+class ConcurrencyLimit;
 enum class Place { Origin, Server };
-using RuleMaker = std::function<std::unique_ptr<Rule>(Place)>;
+using RuleMaker = std::function<std::unique_ptr<ConcurrencyLimit>(Place)>;
 }  // namespace limits
 
 /// Decides for one router. Contract breaches are harmless: an outcome, end or timer for a request
--- a/src/emu/day.cpp
+++ b/src/emu/day.cpp
@@ -9,7 +9,7 @@
 #include <tuple>
 
 #include "../core/core.hpp"
-#include "../limits/connections.hpp"
+#include "../limits/connection_close_budget.hpp"
 
 namespace arrowfork::emu {
 namespace {
@@ -72,7 +72,7 @@
   };
   struct Pool {
     std::vector<std::shared_ptr<Connection>> connections;
-    robinseam::limits::ConnectionBudget budget{kPoolMost};
+    robinseam::limits::ConnectionCloseBudget budget{kPoolMost};
   };
   static constexpr std::size_t kPoolMost = 16;
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
@@ -310,7 +310,7 @@
     case GivenUp::Budget:
       break;
   }
-  return pool.budget.may_close(day_.time.now());
+  return pool.budget.try_spend(day_.time.now());
 }
 
 void ModelRouter::close(Pool& pool, const std::shared_ptr<Connection>& c) {
@@ -327,7 +327,7 @@
   while (!c->flights.empty() && c->flights.front()->answer) {
     auto flight = std::move(c->flights.front());
     c->flights.pop_front();
-    pools_[server].budget.answered();
+    pools_[server].budget.record_answer();
     if (flight->live) end(*flight, flight->answer->status, *flight->answer);
   }
 }
--- a/src/emu/day.hpp
+++ b/src/emu/day.hpp
@@ -14,7 +14,8 @@
 enum class GivenUp {
   Closes,  ///< it is closed, each time
   Drains,  ///< its answer is read and dropped, and the connection used again
-  Budget,  ///< closed as far as answers pay for it (limits/connections.hpp), else drained
+  Budget,  ///< closed as far as answers pay for it (limits/connection_close_budget.hpp), else
+           ///< drained
 };
 
 /// Discovery as routers that have to ask find it. `work` 0: every call is answered at once.
--- a/src/emu/rules.cpp
+++ b/src/emu/rules.cpp
@@ -5,37 +5,37 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "limits/rule.hpp"
+#include "limits/concurrency_limit.hpp"
 
 namespace arrowfork::emu {
 namespace {
 
 using robinseam::Micros;
-using robinseam::limits::Ask;
+using robinseam::limits::AdmissionRequest;
+using robinseam::limits::ConcurrencyLimit;
 using robinseam::limits::Evidence;
 using robinseam::limits::Place;
-using robinseam::limits::Rule;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1'000'000;
 
 /// A draw for this request that is the same at each of its tries.
-double chance_of(const Ask& ask) {
-  return static_cast<double>(ask.name >> 11) / 9007199254740992.0;
+double chance_of(const AdmissionRequest& ask) {
+  return static_cast<double>(ask.request_hash >> 11) / 9007199254740992.0;
 }
 
 /// Counts what is out and limits nothing: the base of rules that act at the door, and what servers
 /// have under those.
-class Open : public Rule {
+class Open : public ConcurrencyLimit {
  public:
-  bool has_room(Micros, double, double) const override { return true; }
-  void sent(Micros, double weight) override { out_ += weight; }
-  void ended(Micros, Micros, double weight, Evidence, double, double, double) override {
+  bool has_capacity(Micros, double, double) const override { return true; }
+  void record_send(Micros, double weight) override { out_ += weight; }
+  void record_end(Micros, Micros, double weight, Evidence, double, double, double) override {
     out_ = std::max(0.0, out_ - weight);
   }
   void reset() override {}
   double limit() const override { return 1e9; }
-  double out() const override { return out_; }
+  double in_flight() const override { return out_; }
 
  protected:
   double out_ = 0;
@@ -46,13 +46,13 @@
  public:
   explicit Limiter(double start, double least, double most)
       : limit_(start), start_(start), least_(least), most_(most) {}
-  bool has_room(Micros, double weight, double part) const override {
+  bool has_capacity(Micros, double weight, double part) const override {
     return out_ + weight <= std::max(limit_ * part, weight);
   }
-  void ended(Micros now, Micros sent_at, double weight, Evidence evidence, double latency,
-             double fine, double blame) override {
+  void record_end(Micros now, Micros sent_at, double weight, Evidence evidence, double latency,
+                  double fine, double blame) override {
     double flight = out_;
-    Open::ended(now, sent_at, weight, evidence, latency, fine, blame);
+    Open::record_end(now, sent_at, weight, evidence, latency, fine, blame);
     if (evidence == Evidence::None || weight <= 0 || latency <= 0) return;
     sample(now, latency, flight, evidence == Evidence::Bad);
     limit_ = std::clamp(limit_, least_, most_);
@@ -124,9 +124,9 @@
 class EnvoyAdaptive final : public Limiter {
  public:
   EnvoyAdaptive() : Limiter(3, 3, 1000) {}
-  bool has_room(Micros now, double weight, double part) const override {
+  bool has_capacity(Micros now, double weight, double part) const override {
     if (probing_) return out_ + weight <= std::max(3.0, weight);
-    return Limiter::has_room(now, weight, part);
+    return Limiter::has_capacity(now, weight, part);
   }
 
  private:
@@ -190,7 +190,7 @@
 /// 30 s, aggression 1.
 class EnvoyAdmission final : public Open {
  public:
-  bool door(Micros now, const Ask&) override {
+  bool admits_request(Micros now, const AdmissionRequest&) override {
     roll(now);
     double n = 0, good = 0;
     for (const Slot& s : slots_) n += s.count, good += s.good;
@@ -199,7 +199,7 @@
     state_ = state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     return static_cast<double>(state_ >> 11) / 9007199254740992.0 >= refuse;
   }
-  void seen(Micros now, const Ask&, Evidence evidence, Micros) override {
+  void observe_end(Micros now, const AdmissionRequest&, Evidence evidence, Micros) override {
     roll(now);
     if (evidence == Evidence::None) return;
     ++slots_[at_].count;
@@ -230,7 +230,7 @@
 /// latency over the least such mean.
 class Dagor final : public Open {
  public:
-  bool door(Micros now, const Ask& ask) override {
+  bool admits_request(Micros now, const AdmissionRequest& ask) override {
     step(now);
     int level = level_of(ask);
     ++came_[static_cast<std::size_t>(level)];
@@ -239,7 +239,8 @@
     admitted_ += in;
     return in;
   }
-  void seen(Micros now, const Ask&, Evidence evidence, Micros latency) override {
+  void observe_end(Micros now, const AdmissionRequest&, Evidence evidence,
+                   Micros latency) override {
     if (evidence == Evidence::None) return;
     latency_ += static_cast<double>(latency), ++ended_;
     step(now);
@@ -247,9 +248,9 @@
 
  private:
   static constexpr int kUsers = 128, kLevels = 3 * kUsers;
-  static int level_of(const Ask& ask) {
-    int business = ask.write ? 0 : ask.held ? 1 : 2;
-    return business * kUsers + static_cast<int>(ask.name >> 57);
+  static int level_of(const AdmissionRequest& ask) {
+    int business = ask.write ? 0 : ask.cached ? 1 : 2;
+    return business * kUsers + static_cast<int>(ask.request_hash >> 57);
   }
   void step(Micros now) {
     if (now - step_at_ < kSecond && all_ < 2000) return;
@@ -282,18 +283,19 @@
 /// is let in stays cached. Its figures as they were.
 class ShedLevels final : public Open {
  public:
-  bool door(Micros now, const Ask& ask) override {
+  bool admits_request(Micros now, const AdmissionRequest& ask) override {
     step(now);
-    double shed = doors_[ask.held].shed;
+    double shed = doors_[ask.cached].shed;
     double chance = shed * std::clamp(1 / std::max(0.01, ask.value), 0.4, 1.4);
     chance = std::min(chance, 1 - kLeast / 2) + std::min(1.0, 4 * shed) * ask.over_share;
-    if (ask.wanted) chance *= chance;
+    if (ask.popular) chance *= chance;
     return shed <= 0 || chance_of(ask) >= chance;
   }
-  void seen(Micros, const Ask& ask, Evidence evidence, Micros latency) override {
+  void observe_end(Micros, const AdmissionRequest& ask, Evidence evidence,
+                   Micros latency) override {
     if (evidence == Evidence::None) return;
-    bool bad = evidence == Evidence::Bad || latency > ask.aim;
-    ++(bad ? doors_[ask.held].bad : doors_[ask.held].good);
+    bool bad = evidence == Evidence::Bad || latency > ask.objective;
+    ++(bad ? doors_[ask.cached].bad : doors_[ask.cached].good);
   }
 
  private:
@@ -317,7 +319,7 @@
 
 /// The rule at the origin alone, nothing at the servers.
 template <typename Door>
-std::unique_ptr<Rule> at_the_door(Place place) {
+std::unique_ptr<ConcurrencyLimit> at_the_door(Place place) {
   if (place == Place::Origin) return std::make_unique<Door>();
   return std::make_unique<Open>();
 }
--- a/src/limits/connections.hpp
+++ b/src/limits/connection_close_budget.hpp
@@ -16,27 +16,27 @@
 
 namespace robinseam::limits {
 
-class ConnectionBudget {
+class ConnectionCloseBudget {
  public:
   /// Tokens that an answered attempt earns; one pays for one close. Handshakes take 1 to 4 ms of a
   /// server here, answers 30: half a handshake an answer is 3% of its work.
-  static constexpr double kPerAnswer = 0.5;
+  static constexpr double kTokensPerAnswer = 0.5;
   /// And a second: a server that answers nothing is told so often that nobody waits.
-  static constexpr double kPerSecond = 4;
+  static constexpr double kTokensPerSecond = 4;
 
   /// `most`: what the bucket holds, and holds at first: as many connections as the pool may have,
   /// so that one whole pool may be given up at once.
-  explicit ConnectionBudget(double most) : most_(most), tokens_(most) {}
+  explicit ConnectionCloseBudget(double most) : most_(most), tokens_(most) {}
 
-  void set_most(double most) {
+  void set_capacity(double most) {
     most_ = most;
     tokens_ = std::min(tokens_, most);
   }
-  void answered() { tokens_ = std::min(most_, tokens_ + kPerAnswer); }
+  void record_answer() { tokens_ = std::min(most_, tokens_ + kTokensPerAnswer); }
   /// Whether one more may be closed now; takes its token.
-  bool may_close(Micros now) {
+  bool try_spend(Micros now) {
     if (at_ > 0 && now > at_)
-      tokens_ = std::min(most_, tokens_ + kPerSecond * static_cast<double>(now - at_) / 1e6);
+      tokens_ = std::min(most_, tokens_ + kTokensPerSecond * static_cast<double>(now - at_) / 1e6);
     at_ = std::max(at_, now);
     if (tokens_ < 1) return false;
     tokens_ -= 1;
--- a/src/limits/blame.cpp
+++ b/src/limits/fault_attribution.cpp
@@ -1,4 +1,4 @@
-#include "blame.hpp"
+#include "fault_attribution.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-Blame::Seen Blame::lately(Micros now, std::size_t server) const {
+FaultAttribution::Seen FaultAttribution::lately(Micros now, std::size_t server) const {
   Seen s = seen_[server];
   double part = std::exp2(-static_cast<double>(now - s.at) / kHalf);
   return {s.lost * part, s.count * part, now};
 }
 
-void Blame::note(Micros now, std::size_t server, bool lost) {
+void FaultAttribution::record_fetch(Micros now, std::size_t server, bool lost) {
   if (seen_.size() <= server) seen_.resize(server + 1);
   Seen s = lately(now, server);
   s.lost += lost;
@@ -34,7 +34,7 @@
   seen_[server] = s;
 }
 
-double Blame::common(Micros now, std::size_t server) const {
+double FaultAttribution::origin_share(Micros now, std::size_t server) const {
   if (server >= seen_.size()) return 1;
   std::vector<double> shares;
   for (std::size_t k = 0; k < seen_.size(); ++k)
@@ -46,7 +46,7 @@
   return std::min(1.0, kSpread * *middle * own.count / own.lost);
 }
 
-void Blame::forget(std::size_t server) {
+void FaultAttribution::forget_server(std::size_t server) {
   if (server < seen_.size()) seen_[server] = Seen();
 }
 
--- a/src/limits/blame.hpp
+++ b/src/limits/fault_attribution.hpp
@@ -11,15 +11,15 @@
 /// The origin is behind every server, so what it loses is lost at most of them; what one server's
 /// queue or cores lose is lost there alone. Compares each server's part of fetches lost lately with
 /// the median over servers. Kept for each server index: bounded by the servers there are.
-class Blame {
+class FaultAttribution {
  public:
   /// A fetch has ended at the server, lost or not.
-  void note(Micros now, std::size_t server, bool lost);
+  void record_fetch(Micros now, std::size_t server, bool lost);
   /// The part of a loss at the server that is the origin's, 0 to 1. 1 where too few servers are
   /// known to tell.
-  double common(Micros now, std::size_t server) const;
+  double origin_share(Micros now, std::size_t server) const;
   /// Another server has taken the index.
-  void forget(std::size_t server);
+  void forget_server(std::size_t server);
 
  private:
   struct Seen {
--- a/src/limits/idle.cpp
+++ b/src/limits/idle_timeout.cpp
@@ -1,4 +1,4 @@
-#include "idle.hpp"
+#include "idle_timeout.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -19,22 +19,22 @@
 
 }  // namespace
 
-double IdleTime::part(Micros now) const {
+double IdleTimeout::share(Micros now) const {
   double since = static_cast<double>(std::max<Micros>(0, now - at_)) / static_cast<double>(kBack);
   return std::min(1.0, part_ + since);
 }
 
-void IdleTime::dialled(Micros now, bool refused) {
-  part_ = part(now);
+void IdleTimeout::record_dial(Micros now, bool refused) {
+  part_ = share(now);
   at_ = std::max(at_, now);
   part_ = refused ? std::max(kLeastPart, part_ * kRefusedLeaves) : std::min(1.0, part_ + kGoodAdds);
 }
 
-Micros IdleTime::time(Micros now, double rate) const {
+Micros IdleTimeout::timeout(Micros now, double rate) const {
   double most = static_cast<double>(most_);
-  double room = kIdleRoom * kServerHolds, n = routers_;
+  double room = kIdleRoom * kPresumedServerConnections, n = routers_;
   if (rate > 0 && n > room) most = std::min(most, -n * std::log(1 - room / n) / rate * 1e6);
-  return static_cast<Micros>(most * part(now));
+  return static_cast<Micros>(most * share(now));
 }
 
 }  // namespace robinseam::limits
--- a/src/limits/idle.hpp
+++ b/src/limits/idle_timeout.hpp
@@ -24,20 +24,20 @@
 namespace robinseam::limits {
 
 /// Connections that a server is presumed to hold at least, for all routers together.
-constexpr double kServerHolds = 60;
+constexpr double kPresumedServerConnections = 60;
 
-class IdleTime {
+class IdleTimeout {
  public:
   /// `routers` share the servers; `most`: the longest time that is ever useful.
-  IdleTime(int routers, Micros most) : routers_(routers), most_(most) {}
+  IdleTimeout(int routers, Micros most) : routers_(routers), most_(most) {}
 
   /// A dial has been answered: refused for want of room, or not. Other failures say nothing.
-  void dialled(Micros now, bool refused);
+  void record_dial(Micros now, bool refused);
   /// How long a connection may stand idle now at a server that gets `rate` attempts a second from
   /// the whole tier (0: not known).
-  Micros time(Micros now, double rate) const;
+  Micros timeout(Micros now, double rate) const;
   /// The part of the time by the settings that dials leave, 0 to 1.
-  double part(Micros now) const;
+  double share(Micros now) const;
 
  private:
   int routers_;
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -14,14 +14,14 @@
 constexpr double kRetryCap = 10;
 constexpr double kCopyPerRequest = 0.03;
 constexpr double kCopyCap = 3;
-// Tokens for one more attempt, by Cause: a broken one has nothing to do with load and takes the
-// place of an attempt that served nothing. At its price the budget bears three of ten attempts that
-// fail so; should all servers break all connections, the bound is max_attempts for a request until
-// the tokens run out.
+// Tokens for one more attempt, by RetryCause: a broken one has nothing to do with load and takes
+// the place of an attempt that served nothing. At its price the budget bears three of ten attempts
+// that fail so; should all servers break all connections, the bound is max_attempts for a request
+// until the tokens run out.
 constexpr std::array<double, 3> kPrice{0.1, 0.25, 1};
 // Fetches. The origin is shared by all routers and answers a fetch, so few at once reach far; a cut
 // of a fifth was too slow for a dozen routers to agree on less.
-constexpr WindowRules kFetchRules{.cut = 0.5, .signals = 2};
+constexpr WindowParameters kFetchRules{.cut = 0.5, .signals = 2};
 // The least window is the tier's, since one origin must bear the sum: so many fetches may always be
 // out over all its routers, whose part may be less than one. With twelve, a fleet at its capacity
 // did not come out of a jam on one of four seeds; with eight on all (docs/design/limits.md).
@@ -54,13 +54,14 @@
 // and up to the most by the part that is refused.
 constexpr Micros kComeBack = 50 * kMilli;
 
-WindowRules fetch_rules(int routers) {
-  WindowRules rules = kFetchRules;
+WindowParameters fetch_rules(int routers) {
+  WindowParameters rules = kFetchRules;
   rules.least = kTierFetches / std::max(1, routers);
   return rules;
 }
 
-std::unique_ptr<Rule> made(const RuleMaker& maker, Place place, const WindowRules& usual) {
+std::unique_ptr<ConcurrencyLimit> made(const RuleMaker& maker, Place place,
+                                       const WindowParameters& usual) {
   return maker ? maker(place) : std::make_unique<Window>(usual);
 }
 
@@ -71,50 +72,51 @@
       fetches_(made(maker_, Place::Origin, fetch_rules(settings.routers))),
       miss_share_{1, kHeldMisses},
       jam_(kTierJammed / std::max(1, settings.routers)),
-      retry_tokens_(kRetryCap / 2 * recovery::start_part(settings.routers)),
+      retry_tokens_(kRetryCap / 2 * recovery::initial_budget_share(settings.routers)),
       broken_tokens_(kRetryCap / 2 - retry_tokens_),
-      copy_tokens_(kCopyCap / 2 * recovery::start_part(settings.routers)),
-      held_part_(1 - recovery::start_part(settings.routers)),
+      copy_tokens_(kCopyCap / 2 * recovery::initial_budget_share(settings.routers)),
+      held_part_(1 - recovery::initial_budget_share(settings.routers)),
       max_wait_(settings.max_retry_after) {}
 
-std::unique_ptr<Rule> Limits::server_rule() const {
-  return made(maker_, Place::Server, kServerRules);
+std::unique_ptr<ConcurrencyLimit> Limits::make_server_limit() const {
+  return made(maker_, Place::Server, kServerWindow);
 }
 
-double Limits::fetch_weight(const Ask& ask) const {
-  double weight = ask.write ? 1 : miss_share_[ask.held];
+double Limits::fetch_weight(const AdmissionRequest& ask) const {
+  double weight = ask.write ? 1 : miss_share_[ask.cached];
   return weight < kFetchLeast ? 0 : weight;
 }
 
-double Limits::part(const Ask& ask) const {
+double Limits::window_share(const AdmissionRequest& ask) const {
   return std::clamp(kPartWorth + (1 - kPartWorth) * ask.value, kPartWorth, 1.0) *
          (1 - (1 - kPartOver) * ask.over_share);
 }
 
-bool Limits::admits(Micros now, const Ask& ask) {
+bool Limits::admits(Micros now, const AdmissionRequest& ask) {
   double weight = fetch_weight(ask);
-  bool in = fetches_->door(now, ask);
+  bool in = fetches_->admits_request(now, ask);
   if (in && weight > 0) {
     // A refused key that is held costs (1 - w) of a hit for w of a fetch.
-    double part = ask.write ? kPartWrite : ask.held ? 1 / weight : ask.wanted ? 1 : kPartRare;
+    double part = ask.write ? kPartWrite : ask.cached ? 1 / weight : ask.popular ? 1 : kPartRare;
     part *= 1 - (1 - kPartOver) * ask.over_share;
     if (ask.late) part *= kPartLate;
-    in = fetches_->has_room(now, weight, part);
+    in = fetches_->has_capacity(now, weight, part);
     // Out of time before it has begun: no fetch is as quick. Not by what fetches take now, which
     // would refuse all until a few had brought that down, then none.
     // And only while fetches end: a floor that none comes to correct would shut the door for good.
     in &= now - fetch_ended_at_ > kFloorHolds ||
-          static_cast<double>(ask.remaining) >= fetches_->floor() / 2;
+          static_cast<double>(ask.remaining) >= fetches_->latency_floor() / 2;
   }
-  note_turned(now, ask.held, !in);
+  note_turned(now, ask.cached, !in);
   return in;
 }
 
-void Limits::ended(Micros now, Micros sent_at, std::size_t server, double weight, Evidence evidence,
-                   bool at_fault, Micros latency, int note, const Ask& ask) {
-  fetches_->seen(now, ask, evidence, latency);
+void Limits::record_end(Micros now, Micros sent_at, std::size_t server, double weight,
+                        Evidence evidence, bool at_fault, Micros latency, int note,
+                        const AdmissionRequest& ask) {
+  fetches_->observe_end(now, ask, evidence, latency);
   if (!ask.write) {
-    double& share = miss_share_[ask.held];
+    double& share = miss_share_[ask.cached];
     if (evidence == Evidence::Good && note > 0)
       share += kMissGain * ((note > 1) - share);
     else if (evidence == Evidence::Bad)
@@ -125,47 +127,48 @@
   if (weight > 0 && evidence != Evidence::None) fetch_ended_at_ = now;
   double blame = 1;
   if (evidence != Evidence::None && weight > 0) {
-    blame_.note(now, server, evidence == Evidence::Bad);
-    if (evidence == Evidence::Bad) blame = blame_.common(now, server);
+    blame_.record_fetch(now, server, evidence == Evidence::Bad);
+    if (evidence == Evidence::Bad) blame = blame_.origin_share(now, server);
     fetches_lost_ += kLostGain * weight * ((evidence == Evidence::Bad) * blame - fetches_lost_);
   }
   if (evidence == Evidence::Good && weight > 0) lost_run_ = 0;
   // Before the servers' own faults are left out: by one or two losses each server looks at fault.
-  if (evidence == Evidence::Bad && weight > kWhole && latency >= ask.aim &&
+  if (evidence == Evidence::Bad && weight > kWhole && latency >= ask.objective &&
       (lost_run_ == 0 || lost_server_ != server)) {
     lost_run_ = now - lost_at_ < kJamSpan ? lost_run_ + 1 : 1;
-    if (lost_run_ >= kJamRun) fetches_->jammed(now, jam_);
+    if (lost_run_ >= kJamRun) fetches_->cap_for_overload(now, jam_);
     lost_at_ = now, lost_server_ = server;
   }
   if (evidence == Evidence::Bad && at_fault) evidence = Evidence::None;
   // The servers' own queues are part of a fetch's latency, so not each above the aim is a signal.
-  fetches_->ended(now, sent_at, weight, evidence, static_cast<double>(latency),
-                  2 * static_cast<double>(ask.aim), blame);
+  fetches_->record_end(now, sent_at, weight, evidence, static_cast<double>(latency),
+                       2 * static_cast<double>(ask.objective), blame);
 }
 
-void Limits::earn() {
+void Limits::earn_tokens() {
   retry_tokens_ = std::min(kRetryCap, retry_tokens_ + kRetryPerRequest);
   copy_tokens_ = std::min(kCopyCap, copy_tokens_ + kCopyPerRequest);
 }
 
-void Limits::came_alone() {
+void Limits::release_withheld_budget() {
   retry_tokens_ = std::min(kRetryCap, retry_tokens_ + kRetryCap / 2 * held_part_);
   copy_tokens_ = std::min(kCopyCap, copy_tokens_ + kCopyCap / 2 * held_part_);
   held_part_ = 0;
 }
 
-bool Limits::spend(Cause cause) {
+bool Limits::spend_retry(RetryCause cause) {
   double price = kPrice[static_cast<std::size_t>(cause)];
   // What a router begins with beyond its part of the tier's is for broken attempts alone, and until
   // its list has been confirmed: one that names servers that are gone has to be found out, and that
   // loads nobody. Kept longer it cost wide+huge 22 0.03 of G.
-  double& from = cause == Cause::Broken && retry_tokens_ < price ? broken_tokens_ : retry_tokens_;
+  double& from =
+      cause == RetryCause::Broken && retry_tokens_ < price ? broken_tokens_ : retry_tokens_;
   if (from < price) return false;
   from -= price;
   return true;
 }
 
-bool Limits::spend_copy() {
+bool Limits::spend_hedge() {
   if (copy_tokens_ < 1) return false;
   copy_tokens_ -= 1;
   return true;
@@ -173,21 +176,23 @@
 
 void Limits::note_turned(Micros now, bool held, bool refused) {
   Turned& t = turned_[held];
-  t.share = this->refused(now, held);
+  t.share = this->shed_share(now, held);
   t.at = now;
   t.share += kTurnedGain * (refused - t.share);
   if (refused) refused_at_ = now;
 }
 
-double Limits::refused(Micros now, bool held) const {
+double Limits::shed_share(Micros now, bool held) const {
   const Turned& t = turned_[held];
   return t.share * std::exp2(-static_cast<double>(now - t.at) / kTurnedHalf);
 }
 
-bool Limits::pressed(Micros now) const { return refused_at_ >= 0 && now - refused_at_ < kPressed; }
+bool Limits::is_shedding(Micros now) const {
+  return refused_at_ >= 0 && now - refused_at_ < kPressed;
+}
 
-Micros Limits::come_back(Micros now, double chance) const {
-  double share = std::max(refused(now, false), refused(now, true));
+Micros Limits::retry_after(Micros now, double chance) const {
+  double share = std::max(shed_share(now, false), shed_share(now, true));
   double wait = static_cast<double>(kComeBack) + share * static_cast<double>(max_wait_ - kComeBack);
   wait = std::min(wait, static_cast<double>(max_wait_));
   return static_cast<Micros>(wait * (1 - 0.5 * chance));
--- a/src/limits/repeats.cpp
+++ b/src/limits/retry_detector.cpp
@@ -1,10 +1,10 @@
-#include "repeats.hpp"
+#include "retry_detector.hpp"
 
 #include <algorithm>
 
 namespace robinseam::limits {
 
-void Repeats::leave(std::uint64_t name, Micros first) {
+void RetryDetector::record_unserved(std::uint64_t name, Micros first) {
   if (sets_.empty()) sets_.resize(kSets);
   Set& set = set_of(name);
   *std::min_element(set.begin(), set.end(), [](const Ticket& a, const Ticket& b) {
@@ -12,7 +12,7 @@
   }) = {name, first};
 }
 
-Micros Repeats::take(Micros now, std::uint64_t name, Micros span) {
+Micros RetryDetector::take_first_try(Micros now, std::uint64_t name, Micros span) {
   if (sets_.empty()) return now;
   Ticket* newest = nullptr;
   for (Ticket& t : set_of(name)) {
@@ -28,7 +28,7 @@
   return first;
 }
 
-std::size_t Repeats::held(Micros now, Micros span) const {
+std::size_t RetryDetector::pending(Micros now, Micros span) const {
   std::size_t count = 0;
   for (const Set& set : sets_)
     for (const Ticket& t : set) count += t.first >= 0 && now - t.first < span;
--- a/src/limits/repeats.hpp
+++ b/src/limits/retry_detector.hpp
@@ -21,19 +21,19 @@
 
 namespace robinseam::limits {
 
-class Repeats {
+class RetryDetector {
  public:
   /// At a deadline of 1 s these are 8,192 refusals a second: more than a core refuses at a load
   /// that it can still answer. 16 bytes each.
   static constexpr std::size_t kWays = 4, kSets = 2048;
 
   /// A request of that name has ended unserved; its first try came at `first`.
-  void leave(std::uint64_t name, Micros first);
+  void record_unserved(std::uint64_t name, Micros first);
   /// When the first try of the request came that has come now: `now` where it is a first one
   /// itself. `span`: how long a client goes on asking.
-  Micros take(Micros now, std::uint64_t name, Micros span);
-  /// Tickets that may still be taken, for tests; `span` as in take().
-  std::size_t held(Micros now, Micros span) const;
+  Micros take_first_try(Micros now, std::uint64_t name, Micros span);
+  /// Tickets that may still be taken, for tests; `span` as in take_first_try().
+  std::size_t pending(Micros now, Micros span) const;
 
  private:
   struct Ticket {
--- a/src/limits/pace.cpp
+++ b/src/limits/server_kind_speeds.cpp
@@ -1,4 +1,4 @@
-#include "pace.hpp"
+#include "server_kind_speeds.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void Paces::note(const std::string& kind, Micros work, Micros latency) {
+void ServerKindSpeeds::record_answer(const std::string& kind, Micros work, Micros latency) {
   if (work <= 0 || latency <= 0) return;
   auto it = kinds_.find(kind);
   if (it == kinds_.end()) {
@@ -29,11 +29,12 @@
   p.log_factor += std::max(kGain, 1 / p.seen) * (value - p.log_factor);
 }
 
-double Paces::in_time(const Pace& pace, double work, double aim) {
+double ServerKindSpeeds::in_time(const Pace& pace, double work, double aim) {
   return 1 / (1 + std::exp((pace.log_factor + std::log(work / aim)) / kSpread));
 }
 
-double Paces::gain_elsewhere(const std::string& kind, Micros work, Micros aim) const {
+double ServerKindSpeeds::gain_at_fastest_kind(const std::string& kind, Micros work,
+                                              Micros aim) const {
   auto it = kinds_.find(kind);
   if (work <= 0 || aim <= 0 || it == kinds_.end() || it->second.seen < kLeastSeen) return 0;
   auto chance = [&](const Pace& p) {
--- a/src/limits/pace.hpp
+++ b/src/limits/server_kind_speeds.hpp
@@ -11,20 +11,20 @@
 
 namespace robinseam::limits {
 
-class Paces {
+class ServerKindSpeeds {
  public:
   /// One answer that was held by the server itself: `work` as the client hinted it, `latency` as
   /// seen from here; both in microseconds, above 0.
-  void note(const std::string& kind, Micros work, Micros latency);
+  void record_answer(const std::string& kind, Micros work, Micros latency);
 
   /// Forgets the kinds that are not among `listed`: nothing can be sent there any more.
-  void keep(const std::set<std::string>& listed) {
+  void retain_kinds(const std::set<std::string>& listed) {
     std::erase_if(kinds_, [&](const auto& kind) { return listed.count(kind.first) == 0; });
   }
 
   /// How much likelier a request of `work` is to be answered within `aim` by the quickest kind that
   /// has been seen than by `kind`, 0 to 1; 0 where either is not known yet.
-  double gain_elsewhere(const std::string& kind, Micros work, Micros aim) const;
+  double gain_at_fastest_kind(const std::string& kind, Micros work, Micros aim) const;
 
  private:
   struct Pace {
--- a/src/limits/slow_start.hpp
+++ b/src/limits/slow_start.hpp
@@ -25,7 +25,7 @@
   /// Whether a request of that cost may go. `rate`: mean requests a second that are this router's;
   /// `window`: the time in which a server falls.
   bool admits(Micros now, double rate, Micros window, double cost);
-  void sent(double cost) { tokens_ = tokens_ > cost ? tokens_ - cost : 0; }
+  void record_send(double cost) { tokens_ = tokens_ > cost ? tokens_ - cost : 0; }
 
  private:
   double tokens_ = 0;
--- a/src/limits/window.cpp
+++ b/src/limits/window.cpp
@@ -24,15 +24,15 @@
 
 }  // namespace
 
-bool Window::has_room(Micros now, double weight, double part) const {
+bool Window::has_capacity(Micros now, double weight, double part) const {
   double room = std::max(rules_.least * std::min(part, 1.0), limit_ * part);
   if (room < 1 && now < paced_until_) return false;
   // A whole attempt always fits into an empty window.
   return out_ + weight <= std::max(room, weight);
 }
 
-void Window::ended(Micros now, Micros sent_at, double weight, Evidence evidence, double latency,
-                   double fine, double blame) {
+void Window::record_end(Micros now, Micros sent_at, double weight, Evidence evidence,
+                        double latency, double fine, double blame) {
   double flight = out_;
   out_ = std::max(0.0, out_ - weight);
   if (limit_ < 1 && weight > 0) {
@@ -79,7 +79,7 @@
   relaxed_at_ = std::max(relaxed_at_, now);
 }
 
-void Window::jammed(Micros now, double most) {
+void Window::cap_for_overload(Micros now, double most) {
   if (limit_ <= most) return;
   limit_ = slow_start_ = std::max(rules_.least, most);
   signals_ = 0, cut_at_ = signal_at_ = relaxed_at_ = now;
--- a/src/limits/window.hpp
+++ b/src/limits/window.hpp
@@ -10,11 +10,11 @@
 // load that needs less than that at once, and recovery needs no sample to come by first.
 #pragma once
 
-#include "rule.hpp"
+#include "concurrency_limit.hpp"
 
 namespace robinseam::limits {
 
-struct WindowRules {
+struct WindowParameters {
   /// Attempts that may always be out. Under 1 they are paced: one at a time, and after it a pause
   /// that makes them so many in the mean.
   double least = 2;
@@ -28,30 +28,30 @@
   double signals = 3;    ///< signals, less half of the good ends, that make a cut
 };
 
-class Window final : public Rule {
+class Window final : public ConcurrencyLimit {
  public:
-  explicit Window(const WindowRules& rules) : rules_(rules), limit_(rules.start) {}
+  explicit Window(const WindowParameters& rules) : rules_(rules), limit_(rules.start) {}
 
-  bool has_room(Micros now, double weight, double part = 1) const override;
-  void sent(Micros now, double weight) override {
+  bool has_capacity(Micros now, double weight, double part = 1) const override;
+  void record_send(Micros now, double weight) override {
     relax(now);
     out_ += weight;
   }
-  void ended(Micros now, Micros sent_at, double weight, Evidence evidence, double latency,
-             double fine, double blame = 1) override;
-  void jammed(Micros now, double most) override;
+  void record_end(Micros now, Micros sent_at, double weight, Evidence evidence, double latency,
+                  double fine, double blame = 1) override;
+  void cap_for_overload(Micros now, double most) override;
   void reset() override;
 
   double limit() const override { return limit_; }
-  double out() const override { return out_; }
-  double floor() const override { return floor_; }
+  double in_flight() const override { return out_; }
+  double latency_floor() const override { return floor_; }
   /// Mean of the latencies lately, those of lost attempts as lower bounds.
   double latency() const { return latency_; }
 
  private:
   void signal(Micros now, Micros sent_at, double severity, double flight, double gradient);
   void relax(Micros now);
-  WindowRules rules_;
+  WindowParameters rules_;
   double limit_;
   double slow_start_ = 1e9;  // below it each good end adds one
   double out_ = 0;
--- a/src/membership/call_schedule.cpp
+++ b/src/membership/call_schedule.cpp
@@ -77,7 +77,7 @@
 // and one that is answered fit into kTold. Where the tier's calls take discovery longer than that,
 // no pause could help (docs/design/membership.md has the sum).
 constexpr Micros kMostPause = (kTold - kAnswer) / 2;
-constexpr double kCall = 10 * kMilli;  // see recovery/asking
+constexpr double kCall = 10 * kMilli;  // see recovery/discovery_backoff
 // A watch that brings no change and ends before its time is not made anew at once, so that a
 // discovery that always answers at once is not called without end. Below the 200 ms within which it
 // is still the same watch.
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 namespace arrowfork {
 namespace {
@@ -66,9 +66,10 @@
 ServerSide::Limits server_limits(const Config& c) {
   ServerSide::Limits l;
   l.connections = server_sockets(c);
-  l.per_server = std::clamp<std::size_t>(static_cast<std::size_t>(robinseam::limits::kServerHolds) /
-                                             static_cast<std::size_t>(c.settings.routers),
-                                         1, kMostPerServer);
+  l.per_server = std::clamp<std::size_t>(
+      static_cast<std::size_t>(robinseam::limits::kPresumedServerConnections) /
+          static_cast<std::size_t>(c.settings.routers),
+      1, kMostPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
   l.streams = c.links.streams;
@@ -154,7 +155,7 @@
   HostList known = hand_.take(config_.known);
   servers_.take_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
-  recovery_.handed(clock_.now(), any_ready());
+  recovery_.record_initial_list(clock_.now(), any_ready());
   log_settings();
   pulse_event_.reset(event_new(base, -1, EV_PERSIST, on_pulse, this));
   timeval pulse = timeval_of(kPulse);
@@ -281,7 +282,7 @@
 
 void Router::on_hosts(HostList&& told) {
   apply(std::move(told));
-  recovery_.told(clock_.now(), any_ready());
+  recovery_.record_list(clock_.now(), any_ready());
   if (memory_) memory_->told(hand_.told());
   take_over_if_ready();
 }
@@ -324,8 +325,9 @@
   for (const Core::Counts::Ends& e : core_.counts().ends)
     served += e.served, unserved += e.refused + e.failed;
   if (served + unserved != served_seen_ + unserved_seen_)
-    recovery_.ended(clock_.now(), static_cast<int>(served - std::exchange(served_seen_, served)),
-                    static_cast<int>(unserved - std::exchange(unserved_seen_, unserved)));
+    recovery_.record_requests(clock_.now(),
+                              static_cast<int>(served - std::exchange(served_seen_, served)),
+                              static_cast<int>(unserved - std::exchange(unserved_seen_, unserved)));
   auto phase = recovery_.view(clock_.now()).phase;
   if (phase == std::exchange(told_phase_, phase)) return;
   std::fprintf(stderr, "arrowfork: recovery: %s", recovery_line().c_str());
@@ -337,7 +339,7 @@
   std::snprintf(
       text, sizeof text, "%s since %.1f s: %s; list %s, %s%s\n",
       robinseam::recovery::name_of(v.phase), static_cast<double>(clock_.now() - v.since) / kSecond,
-      v.why, discovery_.version().empty() ? "none" : discovery_.version().c_str(),
+      v.reason, discovery_.version().empty() ? "none" : discovery_.version().c_str(),
       v.list_age < 0 ? "not confirmed yet"
                      : ("told " + std::to_string(v.list_age / kSecond) + " s ago").c_str(),
       list_is_old(v) ? ", may be old" : "");
@@ -346,7 +348,7 @@
 
 /// Discovery's own word for it goes before the age: what has been missed counts by now.
 bool Router::list_is_old(const robinseam::recovery::Recovery::View& view) const {
-  return view.old || discovery_.overdue();
+  return view.list_stale || discovery_.overdue();
 }
 
 void Router::on_pulse(evutil_socket_t, short, void* self) {
@@ -357,9 +359,10 @@
   if (now - std::exchange(r->pulse_at_, now) < kPulse + kStoodStill) return;
   // What is held is from before: discovery is asked what has changed since. Whatever stopped this
   // process may have stopped the whole tier, so within the time that a tier's calls need.
-  r->recovery_.stood_still(now);
-  robinseam::recovery::Asking asking(r->config_.settings.routers, r->config_.settings.ask_within);
-  r->discovery_.look_again(asking.first(1));
+  r->recovery_.record_pause(now);
+  robinseam::recovery::DiscoveryBackoff asking(r->config_.settings.routers,
+                                               r->config_.settings.ask_within);
+  r->discovery_.look_again(asking.first_delay(1));
   std::fprintf(stderr, "arrowfork: the process stood still; discovery is asked anew\n");
 }
 
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -71,7 +71,7 @@
   // Discovery::Handler
   void on_hosts(HostList&& list) override;
   void on_drains(const HostList& list, bool unnamed_have_left) override;
-  void on_call_failed() override { recovery_.failed(clock_.now()); }
+  void on_call_failed() override { recovery_.record_call_failure(clock_.now()); }
   void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
   // Lister
   void watch() override;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -263,7 +263,7 @@
   Entry done = std::move(entries_.front());
   entries_.pop_front();
   --sent_;
-  pool_.budget.answered();
+  pool_.budget.record_answer();
   if (begins_value) begin_pipe(answer);
   if (done.live)
     side_.handler_.on_attempt_end(done.id, done.attempt, answer.status, std::move(answer.result));
--- a/src/net/server_pool.hpp
+++ b/src/net/server_pool.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "../io/io.hpp"
-#include "../limits/connections.hpp"
+#include "../limits/connection_close_budget.hpp"
 #include "server_codec.hpp"
 
 namespace arrowfork {
@@ -36,7 +36,7 @@
   Micros idle_limit = 0;   // a connection idle for longer is not used again
   Micros idle_reset_at = 0;
   std::uint64_t given_up = 0;  // attempts, since the last line of the log
-  robinseam::limits::ConnectionBudget budget{0};
+  robinseam::limits::ConnectionCloseBudget budget{0};
   std::vector<std::unique_ptr<ServerConnection>> connections;
 
   /// A command written after `span` of idleness was answered with a reset.
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -250,14 +250,14 @@
   return best;
 }
 
-robinseam::limits::ConnectionBudget ServerSide::fresh_budget() const {
-  return robinseam::limits::ConnectionBudget(static_cast<double>(limits_.per_server));
+robinseam::limits::ConnectionCloseBudget ServerSide::fresh_budget() const {
+  return robinseam::limits::ConnectionCloseBudget(static_cast<double>(limits_.per_server));
 }
 
 /// For a connection that others could use once what is out on it is answered: its server pays for
 /// the next one. What is idle costs no more to close now than by the sweep.
 bool ServerSide::may_close(ServerConnection& c) {
-  if (c.idle() || c.pool_.budget.may_close(clock_.now())) return true;
+  if (c.idle() || c.pool_.budget.try_spend(clock_.now())) return true;
   ++counts_.kept;
   return false;
 }
@@ -448,7 +448,7 @@
 
 void ServerSide::note_dial(ServerPool& pool, bool no_room) {
   Micros now = clock_.now();
-  idle_.dialled(now, no_room);
+  idle_.record_dial(now, no_room);
   if (!no_room) return;
   ++counts_.no_room;
   pool.no_dial_until = now + kDialPause;
@@ -513,7 +513,7 @@
 
 Micros ServerSide::idle_limit(const ServerPool& pool, Micros now) const {
   double rate = weight_ > 0 ? limits_.tier_rate * pool.weight / weight_ : 0;
-  return std::min(pool.idle_limit, idle_.time(now, rate));
+  return std::min(pool.idle_limit, idle_.timeout(now, rate));
 }
 
 void ServerSide::on_sweep(evutil_socket_t, short, void* self) {
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -10,8 +10,8 @@
 
 #include "../core/core.hpp"
 #include "../io/io.hpp"
-#include "../limits/connections.hpp"
-#include "../limits/idle.hpp"
+#include "../limits/connection_close_budget.hpp"
+#include "../limits/idle_timeout.hpp"
 #include "config.hpp"
 #include "server_codec.hpp"
 
@@ -88,7 +88,7 @@
   std::size_t connections() const { return total_; }
   std::size_t idle_connections() const;
   /// The part of the idle time by the settings that dials leave, 0 to 1.
-  double idle_part() const { return idle_.part(clock_.now()); }
+  double idle_part() const { return idle_.share(clock_.now()); }
   /// Where a server that wants anything new is reached; empty for any other.
   std::string address_of(const std::string& server) const;
   /// The server at which most attempts were given up since the last call, and how many.
@@ -112,7 +112,7 @@
   /// The same at this server now, by what the tier can hold there and by what the server does.
   Micros idle_limit(const ServerPool& pool, Micros now) const;
   ServerConnection* pick(ServerPool& pool);
-  robinseam::limits::ConnectionBudget fresh_budget() const;
+  robinseam::limits::ConnectionCloseBudget fresh_budget() const;
   bool may_close(ServerConnection& connection);
   /// Whether the budgets allow the pool one more connection; closes one that is not missed for it.
   bool make_room(ServerPool& pool);
@@ -137,7 +137,7 @@
   EventPtr sweep_event_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
   std::size_t total_ = 0;
-  robinseam::limits::IdleTime idle_;
+  robinseam::limits::IdleTimeout idle_;
   double weight_ = 0;         // of the wanted servers
   std::uint32_t opaque_ = 0;  // of the last attempt
   std::size_t pipes_ = 0;     // large values on their way
--- a/src/recovery/asking.cpp
+++ b/src/recovery/discovery_backoff.cpp
@@ -1,4 +1,4 @@
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 #include <algorithm>
 
@@ -34,22 +34,22 @@
 }  // namespace
 
 /// The time in which discovery is presumed to take a call of every router.
-double Asking::tier_calls() const { return kCall * std::max(1, routers_); }
+double DiscoveryBackoff::tier_calls() const { return kCall * std::max(1, routers_); }
 
-Micros Asking::first(double chance) const {
+Micros DiscoveryBackoff::first_delay(double chance) const {
   double spread = std::min(kSpread * static_cast<double>(ask_within_), kMostHeld);
   spread = std::min(spread, usable_ ? kHeldSpread * tier_calls() : tier_calls());
   return static_cast<Micros>(chance * spread);
 }
 
-Micros Asking::beside(double chance) {
+Micros DiscoveryBackoff::silent_call_delay(double chance) {
   if (usable_) return ask_within_;
   double span = silent_++ == 0 ? std::max(kHeardWithin, tier_calls())
                                : std::max(kSign, tier_calls()) * (0.5 + 0.5 * chance);
   return static_cast<Micros>(std::min(span, static_cast<double>(ask_within_)));
 }
 
-Micros Asking::failed(double chance) {
+Micros DiscoveryBackoff::delay_after_failure(double chance) {
   double mean = (usable_ ? kBase : std::max(kBaseNone, tier_calls() / 2)) *
                 static_cast<double>(1 << std::min(failures_, kDoublings));
   if (!usable_) mean = std::min(mean, std::max(kMostNone, 2 * tier_calls()));
@@ -60,13 +60,13 @@
   return static_cast<Micros>(std::min(2 * chance * mean, most));
 }
 
-Micros Asking::list_in(Micros span, double chance) const {
+Micros DiscoveryBackoff::list_wait(Micros span, double chance) const {
   // Spread past it, so that those who were refused together don't come together.
   return static_cast<Micros>((static_cast<double>(std::max<Micros>(0, span)) + tier_calls()) *
                              (1 + 0.5 * chance));
 }
 
-bool Asking::doubted(int server) {
+bool DiscoveryBackoff::record_unreachable(int server) {
   if (confirmed_ || doubted_ < 0 || doubted_ == server) {
     if (doubted_ < 0) doubted_ = server;
     return false;
--- a/src/recovery/asking.hpp
+++ b/src/recovery/discovery_backoff.hpp
@@ -10,33 +10,33 @@
 
 namespace robinseam::recovery {
 
-class Asking {
+class DiscoveryBackoff {
  public:
-  Asking(int routers, Micros ask_within) : routers_(routers), ask_within_(ask_within) {}
+  DiscoveryBackoff(int routers, Micros ask_within) : routers_(routers), ask_within_(ask_within) {}
 
   /// Whether a server is held that may get something new.
-  void hold(bool usable) { usable_ = usable; }
+  void set_usable(bool usable) { usable_ = usable; }
   bool usable() const { return usable_; }
 
   /// `chance` is uniform from 0 to 1 in all of these; the spans are what a timer has to wait.
   /// Until the first call.
-  Micros first(double chance) const;
+  Micros first_delay(double chance) const;
   /// Until a call is made beside the one that begins now, should nothing be heard of it.
-  Micros beside(double chance);
+  Micros silent_call_delay(double chance);
   /// Until the next call after one that failed.
-  Micros failed(double chance);
+  Micros delay_after_failure(double chance);
   /// When a list may have come, where the next call begins in `span`: for those who are refused
   /// until then.
-  Micros list_in(Micros span, double chance) const;
+  Micros list_wait(Micros span, double chance) const;
   /// A list has come.
-  void told() {
+  void record_list() {
     failures_ = silent_ = 0;
     confirmed_ = true;
   }
 
   /// The server of that number can't be reached, and nobody has confirmed the held list: true once
   /// two servers say so, and the list should be asked for before its time.
-  bool doubted(int server);
+  bool record_unreachable(int server);
 
  private:
   double tier_calls() const;
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -31,14 +31,16 @@
   return "";
 }
 
-double start_part(int routers) { return std::min(1.0, kPresumedAlone / std::max(1, routers)); }
+double initial_budget_share(int routers) {
+  return std::min(1.0, kPresumedAlone / std::max(1, routers));
+}
 
 void Recovery::enter(Micros now, Phase phase, const char* why) {
   if (phase != phase_) since_ = now;
   phase_ = phase, why_ = why;
 }
 
-void Recovery::handed(Micros now, bool usable) {
+void Recovery::record_initial_list(Micros now, bool usable) {
   usable_ = usable;
   if (usable)
     enter(now, Phase::Returning, "the list it was handed is not confirmed");
@@ -46,7 +48,7 @@
     enter(now, Phase::Listing, "it was handed no usable list");
 }
 
-void Recovery::told(Micros now, bool usable) {
+void Recovery::record_list(Micros now, bool usable) {
   bool first = told_at_ < 0 || (usable && !usable_);
   told_at_ = now, usable_ = usable, failing_ = false;
   if (!usable) return enter(now, Phase::Listing, "discovery names no usable server");
@@ -61,14 +63,14 @@
   look(now);
 }
 
-void Recovery::failed(Micros now) {
+void Recovery::record_call_failure(Micros now) {
   failing_ = true;
   if (phase_ == Phase::Listing) why_ = "discovery does not answer";
   if (phase_ == Phase::Returning && told_at_ < 0) why_ = "discovery has not confirmed its list";
   look(now);
 }
 
-void Recovery::ended(Micros now, int served, int unserved) {
+void Recovery::record_requests(Micros now, int served, int unserved) {
   if (now - spans_[0].begun >= kSpan) {
     spans_[1] = spans_[0];
     spans_[0] = {now, 0, 0};
@@ -77,7 +79,7 @@
   look(now);
 }
 
-void Recovery::stood_still(Micros now) {
+void Recovery::record_pause(Micros now) {
   if (phase_ == Phase::Full) enter(now, Phase::Returning, "the process stood still");
   spans_ = {};
   since_ = now;
@@ -104,9 +106,9 @@
 Recovery::View Recovery::view(Micros now) {
   look(now);
   View v;
-  v.phase = phase_, v.why = why_, v.since = since_;
+  v.phase = phase_, v.reason = why_, v.since = since_;
   v.list_age = told_at_ < 0 ? -1 : now - told_at_;
-  v.old = told_at_ < 0 || v.list_age > fresh_for_ || failing_;
+  v.list_stale = told_at_ < 0 || v.list_age > fresh_for_ || failing_;
   return v;
 }
 
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -19,7 +19,7 @@
 /// What a budget that each router begins with is divided by: a router can't know how many came back
 /// with it and presumes that all did, so the tier begins with what two routers would. What is
 /// earned by requests is not part of it. 1 for one or two routers.
-double start_part(int routers);
+double initial_budget_share(int routers);
 
 class Recovery {
  public:
@@ -28,22 +28,22 @@
       : routers_(routers), since_(now), fresh_for_(fresh_for) {}
 
   /// The list that the process was handed at its start.
-  void handed(Micros now, bool usable);
+  void record_initial_list(Micros now, bool usable);
   /// Discovery has answered: something is usable or not by now.
-  void told(Micros now, bool usable);
+  void record_list(Micros now, bool usable);
   /// A call on discovery has failed.
-  void failed(Micros now);
+  void record_call_failure(Micros now);
   /// So many requests have ended since the last call, served or not.
-  void ended(Micros now, int served, int unserved);
+  void record_requests(Micros now, int served, int unserved);
   /// The process stood still until `now`: what it holds is from before.
-  void stood_still(Micros now);
+  void record_pause(Micros now);
 
   struct View {
     Phase phase = Phase::Starting;
-    const char* why = "";
-    Micros since = 0;      ///< in that phase
-    Micros list_age = -1;  ///< since discovery was last heard of; -1: never
-    bool old = false;      ///< the list may be older than it should be
+    const char* reason = "";
+    Micros since = 0;         ///< in that phase
+    Micros list_age = -1;     ///< since discovery was last heard of; -1: never
+    bool list_stale = false;  ///< the list may be older than it should be
   };
   View view(Micros now);
 
--- a/src/recovery/company.cpp
+++ b/src/recovery/tier_restart_detector.cpp
@@ -1,4 +1,4 @@
-#include "recovery/company.hpp"
+#include "recovery/tier_restart_detector.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -24,11 +24,11 @@
 
 }  // namespace
 
-Company::Company(int routers, Micros now) : born_(now) {
+TierRestartDetector::TierRestartDetector(int routers, Micros now) : born_(now) {
   if (routers <= kPresumedAlone) verdict_ = Verdict::Alone, told_ = true;
 }
 
-void Company::saw(Micros now, int source, bool trouble) {
+void TierRestartDetector::record_sample(Micros now, int source, bool trouble) {
   if (verdict_ == Verdict::Alone || now - born_ > kLetsGo) return;
   auto seen = sources_.begin() + source_count_;
   if (source_count_ < static_cast<int>(kSources) &&
@@ -42,11 +42,13 @@
     verdict_ = Verdict::Alone;
 }
 
-void Company::list(Micros now, int usable, int young) {
-  saw(now, kDiscovery, false);
-  if (usable > 0) saw(now, kList, young > kManyYoung * usable);
+void TierRestartDetector::record_list(Micros now, int usable, int young) {
+  record_sample(now, kDiscoverySource, false);
+  if (usable > 0) record_sample(now, kListSource, young > kManyYoung * usable);
 }
 
-bool Company::freed() { return verdict_ == Verdict::Alone && !std::exchange(told_, true); }
+bool TierRestartDetector::take_alone_verdict() {
+  return verdict_ == Verdict::Alone && !std::exchange(told_, true);
+}
 
 }  // namespace robinseam::recovery
--- a/src/recovery/company.hpp
+++ b/src/recovery/tier_restart_detector.hpp
@@ -16,22 +16,22 @@
 
 namespace robinseam::recovery {
 
-class Company {
+class TierRestartDetector {
  public:
   enum class Verdict { Unknown, Alone, Together };
 
-  Company(int routers, Micros now);
+  TierRestartDetector(int routers, Micros now);
 
   /// Something that tells how much else came back. `source`: a server's number, or one of these.
-  static constexpr int kDiscovery = -1, kList = -2;
-  void saw(Micros now, int source, bool trouble);
+  static constexpr int kDiscoverySource = -1, kListSource = -2;
+  void record_sample(Micros now, int source, bool trouble);
   /// The list as discovery told it: so many servers are usable, and so many of them have started
   /// lately.
-  void list(Micros now, int usable, int young);
+  void record_list(Micros now, int usable, int young);
 
   Verdict verdict() const { return verdict_; }
   /// True once, when it is settled that it came back alone.
-  bool freed();
+  bool take_alone_verdict();
 
  private:
   Micros born_;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -11,11 +11,11 @@
 #include "limits/checks.hpp"
 #include "limits/draws.hpp"
 #include "limits/limits.hpp"
-#include "limits/pace.hpp"
+#include "limits/server_kind_speeds.hpp"
 #include "limits/slow_start.hpp"
-#include "recovery/asking.hpp"
-#include "recovery/company.hpp"
-#include "recovery/writes.hpp"
+#include "recovery/discovery_backoff.hpp"
+#include "recovery/keyed_writes.hpp"
+#include "recovery/tier_restart_detector.hpp"
 #include "robinseam/balancer.hpp"
 
 namespace robinseam {
@@ -153,7 +153,7 @@
     Micros crowded_at = 0;
     Micros report_at = 0;
     limits::SlowStart slow_start;
-    std::unique_ptr<limits::Rule> window;  // attempts out, whatever they are
+    std::unique_ptr<limits::ConcurrencyLimit> window;  // attempts out, whatever they are
   };
   enum class Ran { Out, Maybe, Never };
   struct Attempt {
@@ -178,7 +178,7 @@
     bool closed = false;
     bool missed = false;             // aside mode: a cache held nothing
     Status held_for = Status::Moot;  // the outcome with which it waits for on_again()
-    limits::Ask ask;
+    limits::AdmissionRequest ask;
     std::vector<Attempt> attempts;
   };
   struct ClassState {
@@ -230,7 +230,7 @@
   // Failures per attempt over the whole fleet, lately.
   double errors = 0, late = 0, unreachable = 0, full = 0, spoilt = 0;
   limits::Limits lim;
-  limits::Paces paces;
+  limits::ServerKindSpeeds paces;
   double mean_value = 0;  // usual worth of a request, or per work where worth goes by request
   // renewed by refresh()
   Micros refreshed = -1;
@@ -240,9 +240,9 @@
   bool disbelieve = false;
   // list
   bool watching = false, asking = false;
-  recovery::Asking asks;
-  recovery::Writes writes;
-  recovery::Company company;
+  recovery::DiscoveryBackoff asks;
+  recovery::KeyedWrites writes;
+  recovery::TierRestartDetector company;
   std::uint64_t ask_token = 0;
   Micros ask_at = 0;  // when the next call is due
   std::uint64_t draws = 0, turned_away = 0, unsendable = 0, given_up = 0;
@@ -360,7 +360,7 @@
   /// How free the fleet is, 1 to 0: by its cores, by what it turns away, by what is refused here.
   double slack() const {
     double cores = std::clamp((1 - util_mean) / (1 - kFreeUtil), 0.0, 1.0);
-    double refused = std::max(lim.refused(now, false), lim.refused(now, true));
+    double refused = std::max(lim.shed_share(now, false), lim.shed_share(now, true));
     return cores * std::max(0.0, 1 - 2 * full) * std::max(0.0, 1 - 2 * refused);
   }
 
@@ -458,15 +458,15 @@
   /// Whether another kind of server would serve the request in time where this one would not.
   bool too_slow(const Open& o, const ServerState& s) const {
     double least = kPaceGain / std::max(0.01, slack() * slack());
-    return o.request.work &&
-           paces.gain_elsewhere(s.listed.kind, *o.request.work, set.classes[o.cls].aim) > least;
+    return o.request.work && paces.gain_at_fastest_kind(s.listed.kind, *o.request.work,
+                                                        set.classes[o.cls].aim) > least;
   }
 
   /// Draws from `seed` to the next live segment whose server may take the request.
   Landing walk(std::uint64_t seed, const Open& o, bool keep_near) {
     Landing fallback;
     int passed = 0;
-    double cost = cost_of(o), fetch = lim.fetch_weight(o.ask), part = lim.part(o.ask);
+    double cost = cost_of(o), fetch = lim.fetch_weight(o.ask), part = lim.window_share(o.ask);
     for (int left = kMaxDraws, before = left;; before = left) {
       int i = next_live(seed, left);
       draws += static_cast<std::uint64_t>(before - std::max(left, 0));
@@ -476,7 +476,7 @@
       if (too_slow(o, s) && depth_of(mix(seed + 1)) < kMaxNearPull) continue;
       if (keep_near && s.listed.zone != set.zone && depth_of(mix(seed)) < near_pull) continue;
       if (!cold_has_room(s, cost)) continue;
-      bool room = s.window->has_room(now, 1, part);
+      bool room = s.window->has_capacity(now, 1, part);
       if (!room || at_limit(s)) {
         if (room && fallback.server < 0) fallback = {i, seed, fetch};
         if (++passed > kMaxOverflow) return fallback;
@@ -579,7 +579,7 @@
 
   /// How far the loss of an attempt is laid at its server's door: where fetches are lost at all
   /// servers, one more says little of this one.
-  double own_part(const Attempt& a) const { return 1 - a.fetch * lim.fetches_lost(); }
+  double own_part(const Attempt& a) const { return 1 - a.fetch * lim.fetch_loss_share(); }
 
   /// The part of its keys a server gives up for having been full. It returns with each success: by
   /// time alone, a busy server that turned away one in twenty gave up nearly all. And with time,
@@ -665,15 +665,15 @@
       double quota = set.tenants[t].quota_per_s / std::max(1, set.routers);
       over = std::max(0.0, 1 - quota * kRateSpan / std::max(1e-9, tenant_rate[t] * rate_fade()));
     }
-    o.ask = {.name = try_name(o),
-             .held = o.held,
-             .wanted = o.seen >= kWantedSeen,
+    o.ask = {.request_hash = try_name(o),
+             .cached = o.held,
+             .popular = o.seen >= kWantedSeen,
              .write = o.request.write,
              .late = late,
              .value = mean_value > 0 ? value / mean_value : 1,
              .over_share = over,
              .remaining = o.request.remaining,
-             .aim = c.aim};
+             .objective = c.aim};
     return !lim.admits(now, o.ask);
   }
 
@@ -692,7 +692,7 @@
       mean_work += (mean_work <= 0 ? 1 : 0.02) * (work - mean_work);
     }
     if (o.first != o.came) return;
-    lim.earn();
+    lim.earn_tokens();
     asked_sum += cost_of(o);
   }
 
@@ -723,8 +723,10 @@
     const ClassSettings& c = set.classes[o.cls];
     if (effect_of(o) == Effect::Repeatable) return true;
     // What earlier tries of the write may have done binds as well.
-    if (const recovery::Writes::First* first = o.write ? writes.first(o.write) : nullptr)
-      if (!recovery::Writes::drops(c, *first, now + 2 * set.tick, to.listed)) return false;
+    if (const recovery::KeyedWrites::FirstSend* first =
+            o.write ? writes.first_send(o.write) : nullptr)
+      if (!recovery::KeyedWrites::is_deduplicated(c, *first, now + 2 * set.tick, to.listed))
+        return false;
     for (const Attempt& a : o.attempts) {
       if (a.ran == Ran::Never) continue;
       if (effect_of(o) == Effect::Once) return false;
@@ -738,9 +740,10 @@
 
   bool may_refuse(const Open& o) const {
     const ClassSettings& c = set.classes[o.cls];
-    const recovery::Writes::First* first = o.write ? writes.first(o.write) : nullptr;
+    const recovery::KeyedWrites::FirstSend* first = o.write ? writes.first_send(o.write) : nullptr;
     if (effect_of(o) == Effect::Repeatable || !(first || may_have_run(o))) return true;
-    if (first && now + 2 * set.tick >= first->sent + c.key_ttl) return false;  // not harmless then
+    if (first && now + 2 * set.tick >= first->sent_at + c.key_ttl)
+      return false;  // not harmless then
     return effect_of(o) == Effect::Keyed && c.group == Group::All;
   }
 
@@ -764,7 +767,7 @@
   /// Its client, unserved, may come again.
   void end_unserved(Open& o) {
     o.closed = true;
-    lim.repeats().leave(try_name(o), o.first);
+    lim.retry_detector().record_unserved(try_name(o), o.first);
   }
 
   void finish(Open& o) {
@@ -774,9 +777,10 @@
     // What never ran says nothing of where its key is.
     if (may_have_run(o)) note_end(o, false);
     double chance = depth_of(mix(o.request.id));
-    Micros wait = lim.come_back(now, chance);
+    Micros wait = lim.retry_after(now, chance);
     if (set.must_ask && !asks.usable())  // nothing is served before the list has come
-      wait = std::clamp(asks.list_in(asking ? 0 : ask_at - now, chance), wait, set.max_retry_after);
+      wait =
+          std::clamp(asks.list_wait(asking ? 0 : ask_at - now, chance), wait, set.max_retry_after);
     if (may_refuse(o))
       out.push_back(Refuse{o.request.id, wait});
     else
@@ -852,13 +856,13 @@
     trials += s.returned_at > 0 && s.doubt > 0;
     o.attempts.push_back({server, now});
     o.attempts.back().fetch = fetch;
-    if (o.write) writes.sent(now, o.write, s.listed);
-    s.window->sent(now, 1);
-    lim.sent(now, o.attempts.back().fetch);
+    if (o.write) writes.record_send(now, o.write, s.listed);
+    s.window->record_send(now, 1);
+    lim.record_send(now, o.attempts.back().fetch);
     ++s.in_flight, ++s.kept, ++total_in_flight;
     fade_rates();
     rate_sum += cost_of(o);
-    if (cold(s)) s.slow_start.sent(cost_of(o));
+    if (cold(s)) s.slow_start.record_send(cost_of(o));
     Micros left = o.deadline - now;
     Micros wait = patience(o);
     bool again = static_cast<int>(o.attempts.size()) < set.max_attempts &&
@@ -879,9 +883,10 @@
                   why == Status::NoRoom;
     const ServerState& last = servers[o.attempts.back().server];
     broken |= outlier(last);  // the fault is that server's alone
-    limits::Cause cause = broken                                       ? limits::Cause::Broken
-                          : why == Status::Full || why == Status::Moot ? limits::Cause::Unseen
-                                                                       : limits::Cause::Load;
+    limits::RetryCause cause = broken ? limits::RetryCause::Broken
+                               : why == Status::Full || why == Status::Moot
+                                   ? limits::RetryCause::NotRun
+                                   : limits::RetryCause::Load;
     bool time_left = o.deadline - now > 2 * set.tick;
     if (why == Status::Miss && is_origin(last)) return finish(o);  // nobody else has it either
     if (why == Status::Miss && time_left && send(o)) return;       // no failure: no tokens
@@ -893,15 +898,15 @@
     // Nor anything while requests are refused: a retry would take the place of a first try. Broken
     // connections, spoilt answers and servers at fault are no sign of load, and their share is
     // bounded by the tokens.
-    futile |= !broken && (lim.pressed(now) || !lim.has_room(now, lim.fetch_weight(o.ask)));
-    if (!futile && time_left && lim.spend(cause) && send(o)) return;
+    futile |= !broken && (lim.is_shedding(now) || !lim.has_capacity(now, lim.fetch_weight(o.ask)));
+    if (!futile && time_left && lim.spend_retry(cause) && send(o)) return;
     finish(o);
   }
 
   // ---- list ----
   void saw(int source, bool trouble) {
-    company.saw(now, source, trouble);
-    if (company.freed()) lim.came_alone();
+    company.record_sample(now, source, trouble);
+    if (company.take_alone_verdict()) lim.release_withheld_budget();
   }
 
   void ask(Micros after) {
@@ -911,15 +916,15 @@
 
   void list_failed() {
     watching = asking = false;
-    saw(recovery::Company::kDiscovery, true);
-    ask(asks.failed(random()));
+    saw(recovery::TierRestartDetector::kDiscoverySource, true);
+    ask(asks.delay_after_failure(random()));
   }
 
   /// A server of a list that nobody has confirmed yet was not there: it may be an old list.
   void doubt_list(int server) {
-    if (!set.must_ask || watching || asking || !asks.doubted(server)) return;
-    asks.hold(false);
-    ask(asks.first(random()));
+    if (!set.must_ask || watching || asking || !asks.record_unreachable(server)) return;
+    asks.set_usable(false);
+    ask(asks.first_delay(random()));
   }
 
   void take_entry(const Server& e) {
@@ -928,7 +933,7 @@
       if (e.health == Health::Gone) return;
       if (vacant.empty())
         vacant.push_back(static_cast<int>(servers.size())), servers.emplace_back();
-      servers[vacant.back()].window = lim.server_rule();
+      servers[vacant.back()].window = lim.make_server_limit();
       it = index.emplace(e.id, vacant.back()).first;
       vacant.pop_back();
     }
@@ -958,7 +963,7 @@
         continue;
       }
       servers[i] = ServerState();
-      lim.forget(static_cast<std::size_t>(i));
+      lim.forget_server(static_cast<std::size_t>(i));
       vacant.push_back(i);
       for (auto& [name, s] : saved)
         if (s.home == i) s.home = -1;
@@ -966,7 +971,7 @@
     }
     std::set<std::string> kinds;
     for (const auto& [id, i] : index) kinds.insert(servers[i].listed.kind);
-    paces.keep(kinds);
+    paces.retain_kinds(kinds);
   }
 
   void tick(Micros t) {
@@ -981,7 +986,7 @@
   Impl& m = *impl_;
   limits::check_settings(settings);
   m.rng = mix(seed);
-  m.company = recovery::Company(settings.routers, now);
+  m.company = recovery::TierRestartDetector(settings.routers, now);
   m.now = m.born = m.rate_at = m.generation_at = now;
   m.classes.resize(settings.classes.size());
   m.tenant_rate.resize(settings.tenants.size());
@@ -993,8 +998,8 @@
 Actions Balancer::start(Micros now) {
   Impl& m = *impl_;
   m.tick(now);
-  m.asks.hold(true);  // until the held list has been seen
-  if (m.set.must_ask) m.ask(m.asks.first(m.random()));
+  m.asks.set_usable(true);  // until the held list has been seen
+  if (m.set.must_ask) m.ask(m.asks.first_delay(m.random()));
   return std::move(m.out);
 }
 
@@ -1006,8 +1011,8 @@
     return std::move(m.out);
   }
   bool held = scope == ListScope::Cached || scope == ListScope::Doubted;
-  if (!held) m.lim.list_told();
-  if (!held && m.asking) m.asking = false, m.watching = true, m.asks.told();
+  if (!held) m.lim.confirm_list();
+  if (!held && m.asking) m.asking = false, m.watching = true, m.asks.record_list();
   if (scope != ListScope::Delta) {
     std::map<std::string, bool> named;
     for (const Server& e : entries) named[e.id] = true;
@@ -1020,16 +1025,16 @@
     auto all = [&](auto test) {
       return static_cast<int>(std::count_if(m.servers.begin(), m.servers.end(), test));
     };
-    m.company.list(m.now, all([&](const auto& s) { return m.usable(s); }),
-                   all([&](const auto& s) { return m.usable(s) && m.cold(s); }));
+    m.company.record_list(m.now, all([&](const auto& s) { return m.usable(s); }),
+                          all([&](const auto& s) { return m.usable(s) && m.cold(s); }));
   }
   m.carve();
-  m.asks.hold(std::any_of(m.servers.begin(), m.servers.end(),
-                          [&](const Impl::ServerState& s) { return m.usable(s); }));
+  m.asks.set_usable(std::any_of(m.servers.begin(), m.servers.end(),
+                                [&](const Impl::ServerState& s) { return m.usable(s); }));
   bool usable = m.asks.usable();
-  if (scope == ListScope::Doubted) m.asks.hold(false);
-  if (held && m.set.must_ask && !m.asks.usable()) m.ask(m.asks.first(m.random()));
-  m.asks.hold(usable);
+  if (scope == ListScope::Doubted) m.asks.set_usable(false);
+  if (held && m.set.must_ask && !m.asks.usable()) m.ask(m.asks.first_delay(m.random()));
+  m.asks.set_usable(usable);
   return std::move(m.out);
 }
 
@@ -1049,9 +1054,10 @@
     m.writes.expire(m.now);
     o.write = mix(hash_name(request.idempotency) + static_cast<std::uint64_t>(o.cls));
     // Its first try may have been at another router, or here before a restart.
-    if (request.repeat) m.writes.presume(m.now, o.write, m.set.classes[o.cls].deadline);
+    if (request.repeat) m.writes.presume_sent(m.now, o.write, m.set.classes[o.cls].deadline);
   }
-  o.first = m.lim.repeats().take(m.now, m.try_name(o), m.set.classes[o.cls].deadline);
+  o.first =
+      m.lim.retry_detector().take_first_try(m.now, m.try_name(o), m.set.classes[o.cls].deadline);
   m.count_arrival(o);
   if (!request.key.empty()) m.count_key(o);
   bool away = m.turn_away(o);
@@ -1095,7 +1101,7 @@
   bool never = r.status == Status::Full || r.status == Status::ConnectFailed ||
                r.status == Status::Moot || r.status == Status::Miss || r.status == Status::NoRoom;
   a.ran = never ? Impl::Ran::Never : Impl::Ran::Maybe;
-  if (never && o.write) m.writes.never_ran(o.write);
+  if (never && o.write) m.writes.record_not_run(o.write);
   bool turned_off = r.status == Status::Full || r.status == Status::NoRoom;
   if (turned_off || r.status == Status::Ok) m.saw(a.server, turned_off);
   m.note_report(s, r.report);
@@ -1112,15 +1118,15 @@
   // Longer than its client waited is no measurement, but a clock that was stepped or stood still.
   Micros latency = std::min(r.latency, std::max<Micros>(o.request.remaining, m.set.tick));
   limits::Evidence load = m.evidence(a, r.status);
-  m.lim.ended(m.now, a.sent, static_cast<std::size_t>(a.server), a.fetch, load,
-              m.outlier(s) || s.doubt >= kServerErrs, latency, r.note, o.ask);
+  m.lim.record_end(m.now, a.sent, static_cast<std::size_t>(a.server), a.fetch, load,
+                   m.outlier(s) || s.doubt >= kServerErrs, latency, r.note, o.ask);
   // The origin's part of a fetch says nothing of the server's own queue.
   if (r.status == Status::Full && s.util >= kBusyUtil)
     load = limits::Evidence::Bad;
   else if (load == limits::Evidence::Bad || r.note > 1 || o.request.write)
     load = limits::Evidence::None;
-  s.window->ended(m.now, a.sent, 1, load, static_cast<double>(latency) / m.cost_of(o),
-                  static_cast<double>(m.set.classes[o.cls].aim) / 2);
+  s.window->record_end(m.now, a.sent, 1, load, static_cast<double>(latency) / m.cost_of(o),
+                       static_cast<double>(m.set.classes[o.cls].aim) / 2);
   // An outlier's failures tell nothing of the fleet.
   if (r.status == Status::Ok || (r.status != Status::NoRoom && !m.outlier(s))) {
     follow(m.errors, r.status == Status::Error);
@@ -1135,7 +1141,7 @@
       s.crowded *= 1 - kFullEases;
       if (!m.is_origin(s)) m.note_latency(s, o.cls, latency, true, r.note <= 1);
       if (!m.is_origin(s) && r.note <= 1 && o.request.work)
-        m.paces.note(s.listed.kind, *o.request.work, latency);
+        m.paces.record_answer(s.listed.kind, *o.request.work, latency);
       break;
     case Status::Miss:
       m.note_success(s);
@@ -1206,7 +1212,7 @@
     if (id != m.ask_token || m.watching) return {};
     m.asking = true;
     m.out.push_back(Watch{});
-    m.ask(m.asks.beside(m.random()));  // asks again should no answer come at all
+    m.ask(m.asks.silent_call_delay(m.random()));  // asks again should no answer come at all
     return std::move(m.out);
   }
   auto it = m.open.find(id);
@@ -1222,8 +1228,8 @@
   } else if (kind == kCopyTimer && !o.attempts.empty() && o.attempts.back().ran == Impl::Ran::Out &&
              m.now - o.attempts.back().sent >= m.patience(o) / 2) {
     m.note_stall(o.attempts.back(), 0.5);
-    if (!m.lim.pressed(m.now) && m.lim.has_room(m.now, m.lim.fetch_weight(o.ask)) &&
-        m.lim.spend_copy())
+    if (!m.lim.is_shedding(m.now) && m.lim.has_capacity(m.now, m.lim.fetch_weight(o.ask)) &&
+        m.lim.spend_hedge())
       m.send(o);
   }
   m.forget_if_done(id);
@@ -1250,14 +1256,14 @@
   s.draws = m.draws;
   s.turned_away = m.turned_away, s.unsendable = m.unsendable, s.given_up = m.given_up;
   s.retries = m.retries, s.copies = m.copies, s.trials = m.trials;
-  s.shed_fetched = m.lim.refused(m.now, false), s.shed_held = m.lim.refused(m.now, true);
-  s.fetch_limit = m.lim.fetches().limit(), s.fetches_out = m.lim.fetches().out();
+  s.shed_fetched = m.lim.shed_share(m.now, false), s.shed_held = m.lim.shed_share(m.now, true);
+  s.fetch_limit = m.lim.fetch_limit().limit(), s.fetches_out = m.lim.fetch_limit().in_flight();
   s.late = m.late, s.errors = m.errors, s.full = m.full, s.unreachable = m.unreachable;
   s.spoilt = m.spoilt;
   s.utilization = m.util_mean;
   s.live = m.live_sum, s.near_pull = m.near_pull;
   s.came_back = static_cast<int>(m.company.verdict());
-  s.writes_known = m.writes.kept(), s.writes_forgotten = m.writes.forgotten();
+  s.writes_known = m.writes.size(), s.writes_forgotten = m.writes.evicted();
   return s;
 }
 
--- a/tests/limits/idle_test.cpp
+++ b/tests/limits/idle_timeout_test.cpp
@@ -1,6 +1,6 @@
 // How long idle connections are kept: by settings, by what dials tell, and what a tier of routers
 // that share nothing comes to by it.
-#include "limits/idle.hpp"
+#include "limits/idle_timeout.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kMost = 9 * kSecond;
 
-TEST(IdleTime, FollowsFromTierAndTraffic) {
+TEST(IdleTimeout, FollowsFromTierAndTraffic) {
   struct Case {
     int routers;
     double rate;      // of the whole tier at one server, a second
@@ -28,28 +28,28 @@
                         {100, 30, 1.99, 2.0},  {300, 30, 1.62, 1.63}, {1000, 30, 1.53, 1.54},
                         {300, 78, 0.62, 0.63}, {300, 1, 9, 9},        {300, 0, 9, 9}};
   for (const Case& c : cases) {
-    IdleTime idle(c.routers, kMost);
-    double time = static_cast<double>(idle.time(0, c.rate)) / kSecond;
+    IdleTimeout idle(c.routers, kMost);
+    double time = static_cast<double>(idle.timeout(0, c.rate)) / kSecond;
     EXPECT_GE(time, c.from) << c.routers << " routers at " << c.rate;
     EXPECT_LE(time, c.to) << c.routers << " routers at " << c.rate;
   }
 }
 
-TEST(IdleTime, RefusedDialsShortenItAndTimeBringsItBack) {
-  IdleTime idle(300, kMost);
-  Micros whole = idle.time(0, 30);
-  for (int k = 0; k < 4; ++k) idle.dialled(kSecond, true);
-  EXPECT_NEAR(static_cast<double>(idle.time(kSecond, 30)), static_cast<double>(whole) / 16, 2);
+TEST(IdleTimeout, RefusedDialsShortenItAndTimeBringsItBack) {
+  IdleTimeout idle(300, kMost);
+  Micros whole = idle.timeout(0, 30);
+  for (int k = 0; k < 4; ++k) idle.record_dial(kSecond, true);
+  EXPECT_NEAR(static_cast<double>(idle.timeout(kSecond, 30)), static_cast<double>(whole) / 16, 2);
   // Without one more sample.
-  EXPECT_EQ(idle.time(61 * kSecond, 30), whole);
+  EXPECT_EQ(idle.timeout(61 * kSecond, 30), whole);
   // However many were refused, and sooner with good dials.
-  for (int k = 0; k < 1000; ++k) idle.dialled(100 * kSecond, true);
-  EXPECT_NEAR(idle.part(130 * kSecond), 0.51, 0.001);
-  for (int k = 0; k < 200; ++k) idle.dialled(130 * kSecond, false);
-  EXPECT_NEAR(idle.part(130 * kSecond), 0.71, 0.001);
+  for (int k = 0; k < 1000; ++k) idle.record_dial(100 * kSecond, true);
+  EXPECT_NEAR(idle.share(130 * kSecond), 0.51, 0.001);
+  for (int k = 0; k < 200; ++k) idle.record_dial(130 * kSecond, false);
+  EXPECT_NEAR(idle.share(130 * kSecond), 0.71, 0.001);
   // A clock that goes back adds no time twice.
-  idle.dialled(110 * kSecond, false);
-  EXPECT_NEAR(idle.part(130 * kSecond), 0.711, 0.001);
+  idle.record_dial(110 * kSecond, false);
+  EXPECT_NEAR(idle.share(130 * kSecond), 0.711, 0.001);
 }
 
 /// A tier that shares nothing over servers that are alike: Poisson arrivals, one attempt at a time
@@ -70,9 +70,10 @@
       return static_cast<Micros>(-std::log(1 - u) / rate * 1e6) + 1;
     };
     auto all = static_cast<std::size_t>(servers);
-    std::vector<IdleTime> times(rates.size(), IdleTime(static_cast<int>(rates.size()), kMost));
+    std::vector<IdleTimeout> times(rates.size(),
+                                   IdleTimeout(static_cast<int>(rates.size()), kMost));
     for (std::size_t r = 0; r < start.size(); ++r)
-      while (times[r].part(0) > start[r]) times[r].dialled(0, true);
+      while (times[r].share(0) > start[r]) times[r].record_dial(0, true);
     struct Idle {
       std::size_t router;
       Micros since;
@@ -96,7 +97,7 @@
       for (; swept <= e.at; swept += kSecond / 40)
         for (std::size_t s = 0; s < all; ++s) {
           std::erase_if(idle[s], [&](const Idle& c) {
-            return swept - c.since > times[c.router].time(swept, told);
+            return swept - c.since > times[c.router].timeout(swept, told);
           });
           double held = used[s] + static_cast<double>(idle[s].size());
           if (counts) sum += held, ++sweeps, most_held = std::max(most_held, held);
@@ -111,13 +112,13 @@
       e.server = rng() % all;
       auto& here = idle[e.server];
       auto mine = std::find_if(here.rbegin(), here.rend(), [&](const Idle& c) {
-        return c.router == e.router && e.at - c.since <= times[e.router].time(e.at, told);
+        return c.router == e.router && e.at - c.since <= times[e.router].timeout(e.at, told);
       });
       if (mine != here.rend()) {
         here.erase(std::next(mine).base());
       } else {
         bool full = used[e.server] + static_cast<int>(here.size()) >= room;
-        times[e.router].dialled(e.at, full);
+        times[e.router].record_dial(e.at, full);
         dials += counts, bad += counts && full;
         if (full) continue;
       }
@@ -125,7 +126,7 @@
       events.push({e.at + kSecond / 10, e.router, e.server, true});
     }
     mean_held = sum / sweeps, refused = bad / attempts, reused = 1 - dials / attempts;
-    for (IdleTime& t : times) parts.push_back(t.part(length));
+    for (IdleTimeout& t : times) parts.push_back(t.share(length));
   }
 };
 
@@ -141,7 +142,7 @@
   return all;
 }
 
-TEST(IdleTime, AServersTableIsFilledButNotFull) {
+TEST(IdleTimeout, AServersTableIsFilledButNotFull) {
   for (int routers : {1, 14, 100, 300, 1000})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Tier tier{uneven(static_cast<std::size_t>(routers), 30, seed), 1, 63, 45};  // by quotas 45
@@ -157,7 +158,7 @@
 
 // The quotas told half of what comes, or the servers hold half of what is presumed: dials alone
 // bring the tables down, and what they leave is used.
-TEST(IdleTime, DialsCorrectWhatThePresumptionMissed) {
+TEST(IdleTimeout, DialsCorrectWhatThePresumptionMissed) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed)
     for (int room : {30, 63}) {
       Tier tier{uneven(300, room == 30 ? 30 : 60, seed), 30, room, 30};
@@ -169,7 +170,7 @@
 
 // Routers that have shortened their time get it back beside those that have not, and what they
 // leave is not kept by the others.
-TEST(IdleTime, ShortenedRoutersAreNotLeftBehind) {
+TEST(IdleTimeout, ShortenedRoutersAreNotLeftBehind) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Tier tier{std::vector<double>(100, 0.9), 10, 63, 30};
     std::vector<double> start(100, 1.0);
--- a/tests/limits/repeats_test.cpp
+++ b/tests/limits/retry_detector_test.cpp
@@ -1,5 +1,5 @@
 // Clients' further tries told from first ones: what is named a repeat, and the bounds.
-#include "limits/repeats.hpp"
+#include "limits/retry_detector.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,38 +10,38 @@
 
 constexpr Micros kMs = 1000, kS = 1'000'000;
 
-TEST(Repeats, ATicketIsTakenOnceWithinItsSpan) {
-  Repeats r;
-  EXPECT_EQ(r.take(kS, 7, kS), kS) << "nothing has been left";
-  r.leave(7, kS);
-  EXPECT_EQ(r.take(kS + 10 * kMs, 8, kS), kS + 10 * kMs) << "another name";
-  EXPECT_EQ(r.take(kS + 20 * kMs, 7, kS), kS);
-  EXPECT_EQ(r.take(kS + 30 * kMs, 7, kS), kS + 30 * kMs) << "taken before";
-  r.leave(7, kS);
-  EXPECT_EQ(r.take(2 * kS, 7, kS), 2 * kS) << "its client asks no more";
-  EXPECT_EQ(r.held(2 * kS, kS), 0u);
+TEST(RetryDetector, ATicketIsTakenOnceWithinItsSpan) {
+  RetryDetector r;
+  EXPECT_EQ(r.take_first_try(kS, 7, kS), kS) << "nothing has been left";
+  r.record_unserved(7, kS);
+  EXPECT_EQ(r.take_first_try(kS + 10 * kMs, 8, kS), kS + 10 * kMs) << "another name";
+  EXPECT_EQ(r.take_first_try(kS + 20 * kMs, 7, kS), kS);
+  EXPECT_EQ(r.take_first_try(kS + 30 * kMs, 7, kS), kS + 30 * kMs) << "taken before";
+  r.record_unserved(7, kS);
+  EXPECT_EQ(r.take_first_try(2 * kS, 7, kS), 2 * kS) << "its client asks no more";
+  EXPECT_EQ(r.pending(2 * kS, kS), 0u);
 }
 
 // The stated errors: strangers may swap places with an owner, but no more are named than left.
-TEST(Repeats, NeverNamesMoreThanEndedUnserved) {
-  Repeats r;
+TEST(RetryDetector, NeverNamesMoreThanEndedUnserved) {
+  RetryDetector r;
   int named = 0;
-  for (int k = 0; k < 3; ++k) r.leave(7, kS + k);
-  for (int k = 0; k < 50; ++k) named += r.take(kS + 10 * kMs, 7, kS) != kS + 10 * kMs;
+  for (int k = 0; k < 3; ++k) r.record_unserved(7, kS + k);
+  for (int k = 0; k < 50; ++k) named += r.take_first_try(kS + 10 * kMs, 7, kS) != kS + 10 * kMs;
   EXPECT_EQ(named, 3);
 }
 
-TEST(Repeats, AMillionRefusalsHoldNoMoreThanTheTable) {
-  Repeats r;
+TEST(RetryDetector, AMillionRefusalsHoldNoMoreThanTheTable) {
+  RetryDetector r;
   for (std::uint64_t k = 0; k < 1'000'000; ++k)
-    r.leave(k * 0x9e3779b97f4a7c15ULL, kS + static_cast<Micros>(k));
-  EXPECT_LE(r.held(2 * kS, 10 * kS), Repeats::kSets * Repeats::kWays);
-  EXPECT_GT(r.held(2 * kS, 10 * kS), Repeats::kSets * Repeats::kWays * 9 / 10);
+    r.record_unserved(k * 0x9e3779b97f4a7c15ULL, kS + static_cast<Micros>(k));
+  EXPECT_LE(r.pending(2 * kS, 10 * kS), RetryDetector::kSets * RetryDetector::kWays);
+  EXPECT_GT(r.pending(2 * kS, 10 * kS), RetryDetector::kSets * RetryDetector::kWays * 9 / 10);
 }
 
 // Through the module: a client that is refused and asks five times earns the tokens of one request.
 // Before, a storm of further tries paid for further attempts.
-TEST(Repeats, FurtherTriesEarnNoRetries) {
+TEST(RetryDetector, FurtherTriesEarnNoRetries) {
   Settings s;
   ClassSettings read;
   read.name = "read";
--- a/tests/limits/pace_test.cpp
+++ b/tests/limits/server_kind_speeds_test.cpp
@@ -1,5 +1,5 @@
 // What few answers tell of a kind of server, and which requests go to a quicker one.
-#include "limits/pace.hpp"
+#include "limits/server_kind_speeds.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,10 +10,10 @@
 
 using test::kMs;
 
-TEST(Paces, AGainIsSeenWhereTheAimLiesBetweenTheKinds) {
-  Paces p;
+TEST(ServerKindSpeeds, AGainIsSeenWhereTheAimLiesBetweenTheKinds) {
+  ServerKindSpeeds p;
   for (int k = 0; k < 40; ++k)
-    p.note("quick", 30 * kMs, 30 * kMs), p.note("slow", 30 * kMs, 60 * kMs);
+    p.record_answer("quick", 30 * kMs, 30 * kMs), p.record_answer("slow", 30 * kMs, 60 * kMs);
   struct Case {
     const char* kind;
     Micros work, aim;
@@ -26,39 +26,39 @@
                         {"unseen", 100 * kMs, 150 * kMs, 0, 0},      // nothing is known
                         {"slow", 0, 150 * kMs, 0, 0},
                         {"slow", 100 * kMs, 0, 0, 0}}) {
-    EXPECT_GE(p.gain_elsewhere(c.kind, c.work, c.aim), c.least) << c.kind << ' ' << c.work;
-    EXPECT_LE(p.gain_elsewhere(c.kind, c.work, c.aim), c.most) << c.kind << ' ' << c.work;
+    EXPECT_GE(p.gain_at_fastest_kind(c.kind, c.work, c.aim), c.least) << c.kind << ' ' << c.work;
+    EXPECT_LE(p.gain_at_fastest_kind(c.kind, c.work, c.aim), c.most) << c.kind << ' ' << c.work;
   }
 }
 
-TEST(Paces, AFewAnswersProveNothingAndOldOnesAreForgotten) {
-  Paces p;
-  auto gain = [&] { return p.gain_elsewhere("slow", 100 * kMs, 150 * kMs); };
-  for (int k = 0; k < 40; ++k) p.note("quick", 30 * kMs, 30 * kMs);
-  for (int k = 0; k < 9; ++k) p.note("slow", 30 * kMs, 60 * kMs);
+TEST(ServerKindSpeeds, AFewAnswersProveNothingAndOldOnesAreForgotten) {
+  ServerKindSpeeds p;
+  auto gain = [&] { return p.gain_at_fastest_kind("slow", 100 * kMs, 150 * kMs); };
+  for (int k = 0; k < 40; ++k) p.record_answer("quick", 30 * kMs, 30 * kMs);
+  for (int k = 0; k < 9; ++k) p.record_answer("slow", 30 * kMs, 60 * kMs);
   EXPECT_EQ(gain(), 0);
-  p.note("slow", 30 * kMs, 60 * kMs);
+  p.record_answer("slow", 30 * kMs, 60 * kMs);
   EXPECT_GT(gain(), 0.4);
-  for (int k = 0; k < 150; ++k) p.note("slow", 30 * kMs, 30 * kMs);
+  for (int k = 0; k < 150; ++k) p.record_answer("slow", 30 * kMs, 30 * kMs);
   EXPECT_LT(gain(), 0.1);
 }
 
-TEST(Paces, KindsAreBounded) {
-  Paces p;
+TEST(ServerKindSpeeds, KindsAreBounded) {
+  ServerKindSpeeds p;
   for (int kind = 0; kind < 100; ++kind)
     for (int k = 0; k < 20; ++k)
-      p.note("k" + std::to_string(kind), 30 * kMs, (kind + 1) * 30 * kMs);
-  EXPECT_GT(p.gain_elsewhere("k31", 100 * kMs, 150 * kMs), 0.5);
-  EXPECT_EQ(p.gain_elsewhere("k32", 100 * kMs, 150 * kMs), 0);
-  p.keep({"k31"});  // the quick ones have left the list, and others find room
-  EXPECT_EQ(p.gain_elsewhere("k31", 100 * kMs, 150 * kMs), 0);
-  for (int k = 0; k < 20; ++k) p.note("k32", 30 * kMs, 30 * kMs);
-  EXPECT_GT(p.gain_elsewhere("k31", 100 * kMs, 150 * kMs), 0.5);
+      p.record_answer("k" + std::to_string(kind), 30 * kMs, (kind + 1) * 30 * kMs);
+  EXPECT_GT(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0.5);
+  EXPECT_EQ(p.gain_at_fastest_kind("k32", 100 * kMs, 150 * kMs), 0);
+  p.retain_kinds({"k31"});  // the quick ones have left the list, and others find room
+  EXPECT_EQ(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0);
+  for (int k = 0; k < 20; ++k) p.record_answer("k32", 30 * kMs, 30 * kMs);
+  EXPECT_GT(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0.5);
 }
 
 // Protects against: three in four of the large requests at machines that serve them late, and a
 // quick kind that is overrun once the whole fleet is busy.
-TEST(Paces, LargeRequestsGoToTheQuickKindWhileItsCoresAreFree) {
+TEST(ServerKindSpeeds, LargeRequestsGoToTheQuickKindWhileItsCoresAreFree) {
   struct Case {
     double utilization;
     Micros work;
@@ -96,7 +96,7 @@
 }
 
 // Protects against: caches passed over for a quick origin, which no walk can land on.
-TEST(Paces, TheOriginIsNoKindToCompareWith) {
+TEST(ServerKindSpeeds, TheOriginIsNoKindToCompareWith) {
   Balancer b(test::aside_settings(), 7, 0);
   auto list = test::fleet(10);
   list.push_back(list[0]);
--- a/tests/limits/window_test.cpp
+++ b/tests/limits/window_test.cpp
@@ -5,7 +5,7 @@
 
 #include <deque>
 
-#include "limits/blame.hpp"
+#include "limits/fault_attribution.hpp"
 
 namespace robinseam::limits {
 namespace {
@@ -15,7 +15,7 @@
 
 /// Attempts that each take `latency`, as many as the window lets out and `demand` wants.
 struct Pipe {
-  explicit Pipe(const WindowRules& rules) : window(rules) {}
+  explicit Pipe(const WindowParameters& rules) : window(rules) {}
   /// Runs for `span`, asking every `gap`. What ends longer than `patience` after its send is Bad.
   void run(Micros span, Micros gap, Micros latency, Micros patience = 500 * kMs) {
     for (Micros end = now + span; now < end; now += gap) {
@@ -23,15 +23,15 @@
         auto [sent, due] = out.front();
         out.pop_front();
         bool late = due - sent >= patience;
-        window.ended(due, sent, 1, late ? Evidence::Bad : Evidence::Good,
-                     static_cast<double>(due - sent), 0);
+        window.record_end(due, sent, 1, late ? Evidence::Bad : Evidence::Good,
+                          static_cast<double>(due - sent), 0);
       }
       ++asked;
-      if (!window.has_room(now, 1)) {
+      if (!window.has_capacity(now, 1)) {
         ++refused;
         continue;
       }
-      window.sent(now, 1);
+      window.record_send(now, 1);
       out.emplace_back(now, now + std::min(latency, patience));
     }
   }
@@ -47,27 +47,27 @@
 };
 
 TEST(Window, ABurstOverIdleServersPassesWithNothingKnown) {
-  Window w{WindowRules{}};
+  Window w{WindowParameters{}};
   for (int k = 0; k < 200; ++k) {
-    ASSERT_TRUE(w.has_room(0, 1)) << k;
-    w.sent(0, 1);
+    ASSERT_TRUE(w.has_capacity(0, 1)) << k;
+    w.record_send(0, 1);
   }
 }
 
 // Whatever happened, `least` may be out: no state of the window holds a calm load back.
 TEST(Window, NeverFallsBelowItsLeast) {
-  WindowRules rules;
+  WindowParameters rules;
   Pipe p(rules);
   p.run(60 * kS, 2 * kMs, 10 * kS);
   EXPECT_EQ(p.window.limit(), rules.least);
-  EXPECT_GE(p.window.out(), rules.least - 1);
-  EXPECT_LE(p.window.out(), rules.least);
+  EXPECT_GE(p.window.in_flight(), rules.least - 1);
+  EXPECT_LE(p.window.in_flight(), rules.least);
 }
 
 // A router's part of a tier's least may be under one: paced, not rounded up to one each.
 TEST(Window, ALeastUnderOneIsPaced) {
   for (double least : {0.5, 0.2, 0.05}) {
-    WindowRules rules;
+    WindowParameters rules;
     rules.least = least;
     Pipe p(rules);
     p.run(60 * kS, 2 * kMs, 10 * kS);  // nothing is answered
@@ -94,7 +94,7 @@
 // trouble was and however long, 3 s after it no request of such a load is refused.
 TEST_P(WindowRecovery, OpensWithinThreeSeconds) {
   const Recovery& c = GetParam();
-  Pipe p{WindowRules{}};
+  Pipe p{WindowParameters{}};
   EXPECT_EQ(p.refused_in(5 * kS, c.gap, c.latency), 0);
   p.run(c.lasts, c.gap, c.trouble);
   p.run(3 * kS, c.gap, c.latency);
@@ -112,53 +112,54 @@
     [](const auto& at) { return at.param.name; });
 
 TEST(Window, OneRoundTripsLossesAreOneCut) {
-  WindowRules rules;
+  WindowParameters rules;
   Window w(rules);
-  for (int k = 0; k < 100; ++k) w.sent(kS, 1);
-  for (int k = 0; k < 100; ++k) w.ended(kS + 500 * kMs, kS, 1, Evidence::Bad, 500'000, 0);
+  for (int k = 0; k < 100; ++k) w.record_send(kS, 1);
+  for (int k = 0; k < 100; ++k) w.record_end(kS + 500 * kMs, kS, 1, Evidence::Bad, 500'000, 0);
   EXPECT_GE(w.limit(), 100 * rules.deepest * 0.9);
   EXPECT_LE(w.limit(), 100 * rules.cut);
 }
 
 TEST(Window, WhatProvesNothingChangesNothing) {
-  Window w{WindowRules{}};
+  Window w{WindowParameters{}};
   for (int k = 0; k < 1000; ++k) {
-    w.sent(k * kMs, 1);
-    w.ended(k * kMs + kMs, k * kMs, 1, Evidence::None, 9e9, 0);
+    w.record_send(k * kMs, 1);
+    w.record_end(k * kMs + kMs, k * kMs, 1, Evidence::None, 9e9, 0);
   }
-  EXPECT_EQ(w.limit(), WindowRules{}.start);
-  EXPECT_EQ(w.out(), 0);
+  EXPECT_EQ(w.limit(), WindowParameters{}.start);
+  EXPECT_EQ(w.in_flight(), 0);
 }
 
 // Protects against: a lone loss of three attempts taken for overload.
 TEST(Window, AFewSamplesCutNothing) {
-  Window w{WindowRules{}};
+  Window w{WindowParameters{}};
   for (int k = 0; k < 30; ++k) {
-    w.sent(k * kS, 1);
-    w.ended(k * kS + 20 * kMs, k * kS, 1, k % 5 == 2 ? Evidence::Bad : Evidence::Good, 20'000, 0);
+    w.record_send(k * kS, 1);
+    w.record_end(k * kS + 20 * kMs, k * kS, 1, k % 5 == 2 ? Evidence::Bad : Evidence::Good, 20'000,
+                 0);
   }
-  EXPECT_EQ(w.limit(), WindowRules{}.start);
+  EXPECT_EQ(w.limit(), WindowParameters{}.start);
 }
 
 TEST(Window, LatencyThatRisesWithLoadCutsItBeforeAnythingIsLost) {
-  Pipe p{WindowRules{}};
+  Pipe p{WindowParameters{}};
   p.run(5 * kS, 10 * kMs, 20 * kMs);
   p.run(3 * kS, 1 * kMs, 300 * kMs);
   EXPECT_LT(p.window.limit(), 40);
 }
 
 TEST(Window, ANewProcessIsNotJudgedByTheOldOnesLatencies) {
-  Pipe p{WindowRules{}};
+  Pipe p{WindowParameters{}};
   p.run(10 * kS, 10 * kMs, 10 * kS);
-  double out = p.window.out();
+  double out = p.window.in_flight();
   p.window.reset();
-  EXPECT_EQ(p.window.limit(), WindowRules{}.start);
-  EXPECT_EQ(p.window.out(), out);
+  EXPECT_EQ(p.window.limit(), WindowParameters{}.start);
+  EXPECT_EQ(p.window.in_flight(), out);
 }
 
 // Protects against: two hot servers that lose what they get shutting the window on fetches for all,
 // over an origin that answers as ever.
-TEST(Blame, WhatOneServerLosesIsNotTheOrigins) {
+TEST(FaultAttribution, WhatOneServerLosesIsNotTheOrigins) {
   const struct {
     const char* what;
     std::vector<double> lost;  // of ten fetches, by server
@@ -172,17 +173,17 @@
       {"too few servers to tell", {0, 10}, 1},
   };
   for (const auto& c : kCases) {
-    Blame blame;
+    FaultAttribution blame;
     Micros now = 1'000'000;
     for (int k = 0; k < 10; ++k)
       for (std::size_t server = 0; server < c.lost.size(); ++server)
-        blame.note(now, server, k < c.lost[server]);
+        blame.record_fetch(now, server, k < c.lost[server]);
     std::size_t last = c.lost.size() - 1;
-    EXPECT_NEAR(blame.common(now, last), c.common, 0.01) << c.what;
+    EXPECT_NEAR(blame.origin_share(now, last), c.common, 0.01) << c.what;
     // Some seconds without a fetch and nothing is known again.
-    EXPECT_EQ(blame.common(now + 5'000'000, last), 1) << c.what;
-    blame.forget(last);
-    EXPECT_EQ(blame.common(now, last), 1) << c.what;
+    EXPECT_EQ(blame.origin_share(now + 5'000'000, last), 1) << c.what;
+    blame.forget_server(last);
+    EXPECT_EQ(blame.origin_share(now, last), 1) << c.what;
   }
 }
 
--- a/tests/membership/discovery_world.hpp
+++ b/tests/membership/discovery_world.hpp
@@ -13,7 +13,7 @@
 
 #include "judge/drain_judge.hpp"
 #include "membership/list_subscription.hpp"
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 namespace arrowfork::test {
 
@@ -249,9 +249,9 @@
                                                         static_cast<Handler&>(*this));
       // As the module asks for its first watch.
       if (!world.options_.pushed) {
-        robinseam::recovery::Asking asks(world.options_.routers, 10 * kSecond);
-        asks.hold(true);
-        later(asks.first(world.chance()), [this] { subscription->watch(world.now_); });
+        robinseam::recovery::DiscoveryBackoff asks(world.options_.routers, 10 * kSecond);
+        asks.set_usable(true);
+        later(asks.first_delay(world.chance()), [this] { subscription->watch(world.now_); });
       }
       send();
       arm();
--- a/tests/membership/fault_injection_test.cpp
+++ b/tests/membership/fault_injection_test.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 
 #include "discovery_world.hpp"
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 namespace arrowfork::test {
 namespace {
--- a/tests/recovery/asking_test.cpp
+++ b/tests/recovery/discovery_backoff_test.cpp
@@ -1,5 +1,5 @@
 // When the list is asked for: tables of spans, and the tier's calls summed over its routers.
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 constexpr Micros kMs = 1000, kS = 1'000'000;
 constexpr Micros kWithin = 10 * kS;
 
-TEST(Asking, TheFirstCallIsSpreadAsFarAsTheTierNeedsIt) {
+TEST(DiscoveryBackoff, TheFirstCallIsSpreadAsFarAsTheTierNeedsIt) {
   struct {
     int routers;
     bool usable;
@@ -23,14 +23,14 @@
                      {300, false, 3 * kS}, {1000, false, 4 * kS},  {1, true, 20 * kMs},
                      {6, true, 120 * kMs}, {100, true, 2 * kS},    {300, true, 4 * kS}};
   for (const auto& one : cases) {
-    Asking asking(one.routers, kWithin);
-    asking.hold(one.usable);
-    EXPECT_EQ(asking.first(0), 0);
-    EXPECT_EQ(asking.first(1), one.longest) << one.routers;
+    DiscoveryBackoff asking(one.routers, kWithin);
+    asking.set_usable(one.usable);
+    EXPECT_EQ(asking.first_delay(0), 0);
+    EXPECT_EQ(asking.first_delay(1), one.longest) << one.routers;
   }
 }
 
-TEST(Asking, PausesAfterFailuresDoubleInFullJitterUpToACap) {
+TEST(DiscoveryBackoff, PausesAfterFailuresDoubleInFullJitterUpToACap) {
   struct {
     int routers;
     bool usable;
@@ -41,51 +41,51 @@
       {300, false, {3 * kS, 6 * kS, 8 * kS, 8 * kS}},
   };
   for (const auto& one : cases) {
-    Asking asking(one.routers, kWithin);
-    asking.hold(one.usable);
+    DiscoveryBackoff asking(one.routers, kWithin);
+    asking.set_usable(one.usable);
     for (int round = 0; round < 2; ++round) {
       for (Micros longest : one.longest) {
-        Asking other = asking;
-        EXPECT_EQ(other.failed(0), 0);
-        EXPECT_EQ(asking.failed(1), longest) << one.routers;
+        DiscoveryBackoff other = asking;
+        EXPECT_EQ(other.delay_after_failure(0), 0);
+        EXPECT_EQ(asking.delay_after_failure(1), longest) << one.routers;
       }
-      asking.told();  // from the beginning again
+      asking.record_list();  // from the beginning again
     }
   }
 }
 
-TEST(Asking, ASilentCallIsGivenDiscoverysTimeThenAskedBeside) {
-  Asking asking(12, kWithin);
-  asking.hold(true);
-  EXPECT_EQ(asking.beside(1), kWithin);
-  asking.hold(false);
-  EXPECT_EQ(asking.beside(0), 2500 * kMs);
-  EXPECT_EQ(asking.beside(1), 400 * kMs);
-  EXPECT_EQ(asking.beside(0), 200 * kMs);
-  asking.failed(0);  // it lives
-  EXPECT_EQ(asking.beside(0), 2500 * kMs);
+TEST(DiscoveryBackoff, ASilentCallIsGivenDiscoverysTimeThenAskedBeside) {
+  DiscoveryBackoff asking(12, kWithin);
+  asking.set_usable(true);
+  EXPECT_EQ(asking.silent_call_delay(1), kWithin);
+  asking.set_usable(false);
+  EXPECT_EQ(asking.silent_call_delay(0), 2500 * kMs);
+  EXPECT_EQ(asking.silent_call_delay(1), 400 * kMs);
+  EXPECT_EQ(asking.silent_call_delay(0), 200 * kMs);
+  asking.delay_after_failure(0);  // it lives
+  EXPECT_EQ(asking.silent_call_delay(0), 2500 * kMs);
 }
 
-TEST(Asking, TwoServersThatAreNotThereMakeAnOldListSuspectOnce) {
-  Asking asking(12, kWithin);
-  EXPECT_FALSE(asking.doubted(3));
-  EXPECT_FALSE(asking.doubted(3));
-  EXPECT_TRUE(asking.doubted(5));
-  EXPECT_FALSE(asking.doubted(7));
-  Asking confirmed(12, kWithin);
-  confirmed.told();
-  for (int server : {3, 5, 7}) EXPECT_FALSE(confirmed.doubted(server));
+TEST(DiscoveryBackoff, TwoServersThatAreNotThereMakeAnOldListSuspectOnce) {
+  DiscoveryBackoff asking(12, kWithin);
+  EXPECT_FALSE(asking.record_unreachable(3));
+  EXPECT_FALSE(asking.record_unreachable(3));
+  EXPECT_TRUE(asking.record_unreachable(5));
+  EXPECT_FALSE(asking.record_unreachable(7));
+  DiscoveryBackoff confirmed(12, kWithin);
+  confirmed.record_list();
+  for (int server : {3, 5, 7}) EXPECT_FALSE(confirmed.record_unreachable(server));
 }
 
-TEST(Asking, ARefusalsWaitReachesPastTheCall) {
-  Asking asking(24, kWithin);
-  EXPECT_EQ(asking.list_in(kS, 0), 1240 * kMs);
-  EXPECT_EQ(asking.list_in(-kS, 1), 360 * kMs);
+TEST(DiscoveryBackoff, ARefusalsWaitReachesPastTheCall) {
+  DiscoveryBackoff asking(24, kWithin);
+  EXPECT_EQ(asking.list_wait(kS, 0), 1240 * kMs);
+  EXPECT_EQ(asking.list_wait(-kS, 1), 360 * kMs);
 }
 
 // All routers of a tier restart at once without a list, at a discovery that is silent for 5 s: what
 // it is called, and how soon after its return the last router has called it.
-TEST(Asking, ATierCallsASilentDiscoveryNoMoreThanItCanTake) {
+TEST(DiscoveryBackoff, ATierCallsASilentDiscoveryNoMoreThanItCanTake) {
   for (int routers : {1, 14, 100, 300, 1000}) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
       std::mt19937_64 random(seed);
@@ -93,9 +93,9 @@
       std::vector<Micros> calls;
       Micros last_back = 0;
       for (int r = 0; r < routers; ++r) {
-        Asking asking(routers, kWithin);
-        Micros at = asking.first(chance(random));
-        for (; at < 5 * kS; at += asking.beside(chance(random))) calls.push_back(at);
+        DiscoveryBackoff asking(routers, kWithin);
+        Micros at = asking.first_delay(chance(random));
+        for (; at < 5 * kS; at += asking.silent_call_delay(chance(random))) calls.push_back(at);
         last_back = std::max(last_back, at);
       }
       std::sort(calls.begin(), calls.end());
--- a/tests/recovery/writes_test.cpp
+++ b/tests/recovery/keyed_writes_test.cpp
@@ -1,5 +1,5 @@
 // Rule two over the tries of one write: what is known of them, and what the module does by it.
-#include "recovery/writes.hpp"
+#include "recovery/keyed_writes.hpp"
 
 #include <gtest/gtest.h>
 
@@ -123,18 +123,19 @@
                                               Status::Ok, false, 300 * kMs, End::Sent}),
                          [](const auto& one) { return std::string(one.param.name); });
 
-TEST(Writes, AreFreedInTimeAndBounded) {
-  recovery::Writes writes(settings(Group::All, 5 * kS).classes);
+TEST(KeyedWrites, AreFreedInTimeAndBounded) {
+  recovery::KeyedWrites writes(settings(Group::All, 5 * kS).classes);
   Server to;
-  for (std::uint64_t k = 1; k <= 1000; ++k) writes.sent(static_cast<Micros>(k), k, to);
-  EXPECT_EQ(writes.kept(), 1000u);
-  writes.sent(6 * kS + 1000, 2000, to);  // a deadline and a key time later
-  EXPECT_EQ(writes.kept(), 1u);
-  EXPECT_EQ(writes.forgotten(), 0u);
-  for (std::uint64_t k = 0; k < 2 * recovery::Writes::kMost; ++k) writes.sent(7 * kS, 5000 + k, to);
-  EXPECT_EQ(writes.kept(), recovery::Writes::kMost);
-  EXPECT_EQ(writes.forgotten(), recovery::Writes::kMost + 1);
-  EXPECT_EQ(writes.first(5000), nullptr);
+  for (std::uint64_t k = 1; k <= 1000; ++k) writes.record_send(static_cast<Micros>(k), k, to);
+  EXPECT_EQ(writes.size(), 1000u);
+  writes.record_send(6 * kS + 1000, 2000, to);  // a deadline and a key time later
+  EXPECT_EQ(writes.size(), 1u);
+  EXPECT_EQ(writes.evicted(), 0u);
+  for (std::uint64_t k = 0; k < 2 * recovery::KeyedWrites::kCapacity; ++k)
+    writes.record_send(7 * kS, 5000 + k, to);
+  EXPECT_EQ(writes.size(), recovery::KeyedWrites::kCapacity);
+  EXPECT_EQ(writes.evicted(), recovery::KeyedWrites::kCapacity + 1);
+  EXPECT_EQ(writes.first_send(5000), nullptr);
 }
 
 }  // namespace
--- a/tests/recovery/recovery_test.cpp
+++ b/tests/recovery/recovery_test.cpp
@@ -93,27 +93,27 @@
     Micros now = 0;
     for (const Step& step : one.steps) {
       now = static_cast<Micros>(step.at * kS);
-      if (step.what == 'h') r.handed(now, one.usable);
-      if (step.what == 't') r.told(now, true);
-      if (step.what == 'n') r.told(now, false);
-      if (step.what == 'f') r.failed(now);
-      if (step.what == 'g') r.ended(now, 10, 0);
-      if (step.what == 'b') r.ended(now, 5, 5);
-      if (step.what == 's') r.stood_still(now);
+      if (step.what == 'h') r.record_initial_list(now, one.usable);
+      if (step.what == 't') r.record_list(now, true);
+      if (step.what == 'n') r.record_list(now, false);
+      if (step.what == 'f') r.record_call_failure(now);
+      if (step.what == 'g') r.record_requests(now, 10, 0);
+      if (step.what == 'b') r.record_requests(now, 5, 5);
+      if (step.what == 's') r.record_pause(now);
       Recovery::View v = r.view(now);
       EXPECT_STREQ(name_of(v.phase), step.phase) << one.name << " at " << step.at;
-      EXPECT_EQ(v.old, step.old) << one.name << " at " << step.at;
+      EXPECT_EQ(v.list_stale, step.old) << one.name << " at " << step.at;
     }
     if (std::string(one.name) == "nothing is heard") {
-      EXPECT_FALSE(r.view(26 * kS).old);
-      EXPECT_TRUE(r.view(26 * kS + 1).old);
+      EXPECT_FALSE(r.view(26 * kS).list_stale);
+      EXPECT_TRUE(r.view(26 * kS + 1).list_stale);
     }
   }
 }
 
 TEST(Recovery, ATierBeginsWithWhatTwoRoutersWould) {
   for (int routers : {1, 2, 3, 14, 300, 1000})
-    EXPECT_DOUBLE_EQ(start_part(routers) * routers, std::min(routers, 2));
+    EXPECT_DOUBLE_EQ(initial_budget_share(routers) * routers, std::min(routers, 2));
 }
 
 }  // namespace
--- a/tests/recovery/slow_start_test.cpp
+++ b/tests/recovery/slow_start_test.cpp
@@ -213,7 +213,7 @@
       double sent = 0;
       for (Micros now = 0; now < 40000 * kS; now += 100 * kMs)
         for (int tries = 0; tries < 4 && tokens.admits(now, rate, 1500 * kMs, cost); ++tries)
-          tokens.sent(cost), sent += cost;
+          tokens.record_send(cost), sent += cost;
       EXPECT_GT(sent / (40000 * rate), 0.8) << cost << ' ' << rate;
       EXPECT_LT(sent / (40000 * rate), 1.1) << cost << ' ' << rate;
     }
--- a/tests/recovery/start_test.cpp
+++ b/tests/recovery/start_test.cpp
@@ -25,18 +25,18 @@
 
 TEST(StartBudgets, RetriesOfLoadAreTheTiersAndThoseOfBrokenAttemptsTheRouters) {
   for (int routers : {1, 2, 14, 300}) {
-    auto spent = [&](limits::Cause cause) {
+    auto spent = [&](limits::RetryCause cause) {
       limits::Limits fresh(settings(routers), {});
       int count = 0;
-      while (fresh.spend(cause)) ++count;
+      while (fresh.spend_retry(cause)) ++count;
       return count * routers;
     };
-    EXPECT_LE(spent(limits::Cause::Load), 10) << routers;
-    EXPECT_GE(spent(limits::Cause::Broken), 49 * routers) << routers;
+    EXPECT_LE(spent(limits::RetryCause::Load), 10) << routers;
+    EXPECT_GE(spent(limits::RetryCause::Broken), 49 * routers) << routers;
     limits::Limits told(settings(routers), {});
-    told.list_told();
+    told.confirm_list();
     int broken = 0;
-    while (told.spend(limits::Cause::Broken)) ++broken;
+    while (told.spend_retry(limits::RetryCause::Broken)) ++broken;
     EXPECT_LE(broken * routers, 100) << routers;
   }
 }
--- a/tests/recovery/company_test.cpp
+++ b/tests/recovery/tier_restart_detector_test.cpp
@@ -1,5 +1,5 @@
 // How a router finds out whether it came back alone: a table of what it sees.
-#include "recovery/company.hpp"
+#include "recovery/tier_restart_detector.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Micros kS = 1'000'000, kBorn = 50 * kS;
-using Verdict = Company::Verdict;
+using Verdict = TierRestartDetector::Verdict;
 
 struct Case {
   const char* name;
@@ -25,7 +25,7 @@
 
 TEST_P(Companies, AreToldByWhatIsSeen) {
   const Case& c = GetParam();
-  Company company(c.routers, kBorn);
+  TierRestartDetector company(c.routers, kBorn);
   Micros now = kBorn;
   bool trouble = false;
   for (char one : std::string(c.seen)) {
@@ -34,13 +34,13 @@
       trouble = true;
       continue;
     }
-    if (one == 'd') company.saw(now, Company::kDiscovery, trouble);
-    if (one >= '0' && one <= '9') company.saw(now, one - '0', trouble);
+    if (one == 'd') company.record_sample(now, TierRestartDetector::kDiscoverySource, trouble);
+    if (one >= '0' && one <= '9') company.record_sample(now, one - '0', trouble);
     trouble = false;
   }
   EXPECT_EQ(company.verdict(), c.verdict);
-  EXPECT_EQ(company.freed(), c.verdict == Verdict::Alone && c.routers > 2);
-  EXPECT_FALSE(company.freed());
+  EXPECT_EQ(company.take_alone_verdict(), c.verdict == Verdict::Alone && c.routers > 2);
+  EXPECT_FALSE(company.take_alone_verdict());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -62,14 +62,14 @@
                     Case{"too_late_to_tell", 300, "12345___________1234512345", Verdict::Unknown}),
     [](const auto& one) { return std::string(one.param.name); });
 
-TEST(Company, AListOfYoungServersSpeaksForAReturnOfAll) {
-  Company company(300, kBorn);
-  company.list(kBorn, 10, 6);
+TEST(TierRestartDetector, AListOfYoungServersSpeaksForAReturnOfAll) {
+  TierRestartDetector company(300, kBorn);
+  company.record_list(kBorn, 10, 6);
   EXPECT_EQ(company.verdict(), Verdict::Unknown);
-  company.list(kBorn, 10, 6);
+  company.record_list(kBorn, 10, 6);
   EXPECT_EQ(company.verdict(), Verdict::Together);
-  Company other(300, kBorn);
-  for (int k = 0; k < 6; ++k) other.list(kBorn, 10, 1), other.saw(kBorn, 3, false);
+  TierRestartDetector other(300, kBorn);
+  for (int k = 0; k < 6; ++k) other.record_list(kBorn, 10, 1), other.record_sample(kBorn, 3, false);
   EXPECT_EQ(other.verdict(), Verdict::Alone);
 }
 
