--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -28,14 +28,14 @@
 constexpr Micros kStopStep = 20 * kMillisecond;
 constexpr Micros kStopSlack = 650 * kMillisecond;
 
-// Bans are looked at and descriptors told this often: a ban told to the other process of an upgrade
-// binds here as soon, which leaves most of the grace.
+// DisabledServers are looked at and descriptors told this often: a ban told to the other process of
+// an upgrade binds here as soon, which leaves most of the grace.
 constexpr Micros kTick = 50 * kMillisecond;
 // The process is seen to have stood still where a pulse comes this late.
 constexpr Micros kPulse = kSecond / 2;
 constexpr Micros kStoodStill = 2 * kSecond;
 // A list counts as of now until a watch that waits its longest should have been answered for.
-constexpr Micros kFresh = robinseam::membership::CallSchedule::kLongestWait + 2 * kSecond;
+constexpr Micros kFresh = robinseam::membership::CallSchedule::kMaxWait + 2 * kSecond;
 // A server that is live over less than this part of its slots is avoided.
 constexpr double kAvoided = 0.05;
 // What one process of an upgrade is left with at least.
@@ -56,7 +56,7 @@
   l.spare_connections = std::min(kSpareClients, c.sockets / 16);
   std::size_t others = kReservedSockets + server_sockets(c) + l.spare_connections;
   if (c.ext_proc) others += c.ext_proc->connections + 1;
-  if (!c.control.empty()) others += Control::kMostConnections + 1;
+  if (!c.control.empty()) others += ControlServer::kMaxConnections + 1;
   l.connections = c.sockets > others ? c.sockets - others : 1;
   l.held_bytes = c.memory_bytes / 4;
   l.bulk_bytes = std::max(kMaxBulk, c.memory_bytes / 6);
@@ -65,18 +65,18 @@
 
 ServerSide::Limits server_limits(const Config& c) {
   ServerSide::Limits l;
-  l.connections = server_sockets(c);
-  l.per_server = std::clamp<std::size_t>(
+  l.max_connections = server_sockets(c);
+  l.max_connections_per_server = std::clamp<std::size_t>(
       static_cast<std::size_t>(robinseam::limits::kPresumedServerConnections) /
           static_cast<std::size_t>(c.settings.routers),
       1, kMostPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
-  l.streams = c.links.streams;
+  l.attempts_per_connection = c.links.streams;
   l.keepalive = c.links.keepalive;
   l.dial_timeout = c.links.dial_timeout;
   l.may_cancel = c.settings.may_cancel;
-  l.pipe_bytes = c.memory_bytes / 8;
+  l.streaming_buffer_bytes = c.memory_bytes / 8;
   return l;
 }
 
@@ -131,13 +131,13 @@
   clients_.set_stats([this] { return stats(); });
   servers_.set_protocols(config_.binary);
   if (!config_.control.empty()) {
-    control_.reset(new Control(base_, clock_, *this));
+    control_.reset(new ControlServer(base_, clock_, *this));
     tick_event_.reset(event_new(base, -1, EV_PERSIST, on_tick, this));
     timeval tick = timeval_of(kTick);
     event_add(tick_event_.get(), &tick);
     // The running process has the newer list.
     handover_.reset(new Handover(base_, state_path(config_, ".sock"), *this));
-    Handover::Taken taken = handover_->seek();
+    Handover::Inherited taken = handover_->request_listener();
     if (taken.listener) {
       taking_over_ = true;
       clients_.listen_on(std::move(taken.listener));
@@ -149,11 +149,11 @@
       }
     }
     std::string error;
-    if (auto bans = ban_file_.look(error)) hand_.set_bans(*bans, clock_.now());
+    if (auto bans = ban_file_.read_if_changed(error)) hand_.set_disabled(*bans, clock_.now());
     if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
   }
-  HostList known = hand_.take(config_.known);
-  servers_.take_list(known);
+  HostList known = hand_.apply_list(config_.known);
+  servers_.apply_list(known);
   core_.start(servers_of(known), config_.known_is_doubted);
   recovery_.record_initial_list(clock_.now(), has_ready_server());
   log_settings();
@@ -169,7 +169,7 @@
       error = "control " + config_.control + ": " + (address ? error : "no address");
       return false;
     }
-    handover_->serve();
+    handover_->listen_for_successor();
   }
   if (taking_over_) {
     take_over_if_ready();
@@ -234,10 +234,10 @@
   bool handing = handover_ && handover_->has_successor();
   if (handing)
     clients_.set_hand_over([this](int client) {
-      switch (handover_->give(client)) {
-        case Handover::Given::Yes:
+      switch (handover_->hand_over_client(client)) {
+        case Handover::HandOverResult::Sent:
           return ClientSide::HandOverResult::Sent;
-        case Handover::Given::Later:
+        case Handover::HandOverResult::RetryLater:
           return ClientSide::HandOverResult::RetryLater;
         default:
           return ClientSide::HandOverResult::NotSent;
@@ -270,20 +270,20 @@
 
 void Router::apply(HostList&& told) {
   note_leaving(told);
-  HostList list = hand_.take(std::move(told));
-  servers_.take_list(list);
-  core_.list(list.whole ? ListScope::Full : ListScope::Delta, servers_of(list));
+  HostList list = hand_.apply_list(std::move(told));
+  servers_.apply_list(list);
+  core_.list(list.full ? ListScope::Full : ListScope::Delta, servers_of(list));
 }
 
-void Router::on_drains(const HostList& list, bool unnamed_have_left) {
-  HostList drains = drains_in(list, unnamed_have_left, hand_.told_hosts());
+void Router::on_drains(const HostList& list, bool drain_unlisted) {
+  HostList drains = extract_drains(list, drain_unlisted, hand_.discovered_hosts());
   if (!drains.hosts.empty()) apply(std::move(drains));
 }
 
 void Router::on_hosts(HostList&& told) {
   apply(std::move(told));
   recovery_.record_list(clock_.now(), has_ready_server());
-  if (memory_) memory_->on_list_confirmed(hand_.told());
+  if (memory_) memory_->on_list_confirmed(hand_.discovered_list());
   take_over_if_ready();
 }
 
@@ -302,9 +302,9 @@
   std::string names;
   std::unordered_map<std::string_view, Health> now;
   for (const Host& h : told.hosts) now[h.server.id] = h.server.health;
-  for (const auto& [id, held] : hand_.listed()) {
+  for (const auto& [id, held] : hand_.effective_hosts()) {
     auto at = now.find(id);
-    bool leaves = at != now.end() ? at->second != Health::Ready : told.whole;
+    bool leaves = at != now.end() ? at->second != Health::Ready : told.full;
     if (leaves && held.server.health == Health::Ready && ++count <= kNamed) names += ' ' + id;
   }
   if (count == 0) return;
@@ -315,9 +315,9 @@
 // ---- coming back ----
 
 bool Router::has_ready_server() const {
-  return std::any_of(hand_.listed().begin(), hand_.listed().end(), [](const auto& entry) {
-    return entry.second.server.health == robinseam::Health::Ready;
-  });
+  return std::any_of(
+      hand_.effective_hosts().begin(), hand_.effective_hosts().end(),
+      [](const auto& entry) { return entry.second.server.health == robinseam::Health::Ready; });
 }
 
 void Router::note_recovery() {
@@ -391,31 +391,31 @@
   return has_ready_server();
 }
 
-std::string Router::on_control(const ControlCall& call) {
-  using What = ControlCall::What;
-  switch (call.what) {
-    case What::Ready:
+std::string Router::on_control_call(const ControlCall& call) {
+  using Kind = ControlCall::Kind;
+  switch (call.kind) {
+    case Kind::Ready:
       return ready() ? control_answer(200, "ready\n" + recovery_line())
                      : control_answer(503, "not ready\n" + recovery_line());
-    case What::Metrics:
+    case Kind::Metrics:
       return control_answer(200, metrics(), "application/json");
-    case What::Disable:
-    case What::Enable:
-      return set_out(call.id, call.what == What::Disable);
-    case What::Drain:
-    case What::Resume:
+    case Kind::Disable:
+    case Kind::Enable:
+      return set_out(call.id, call.kind == Kind::Disable);
+    case Kind::Drain:
+    case Kind::Resume:
       std::fprintf(stderr, "arrowfork: %s by hand\n",
-                   call.what == What::Drain ? "drained" : "resumed");
-      clients_.set_operator_drain(call.what == What::Drain);
+                   call.kind == Kind::Drain ? "drained" : "resumed");
+      clients_.set_operator_drain(call.kind == Kind::Drain);
       return control_answer(200, "done\n");
   }
   return control_answer(400, "no such call\n");
 }
 
 std::string Router::set_out(const std::string& id, bool out) {
-  if (!hand_.known(id)) return control_answer(404, "no such cache server\n");
+  if (!hand_.is_known(id)) return control_answer(404, "no such cache server\n");
   std::string error;
-  auto bans = ban_file_.change(id, out, clock_.now(), error);
+  auto bans = ban_file_.set_disabled(id, out, clock_.now(), error);
   if (!bans) {
     std::fprintf(stderr, "arrowfork: %s: %s: %s\n", out ? "disable" : "enable", id.c_str(),
                  error.c_str());
@@ -426,10 +426,10 @@
   return control_answer(200, "done\n");
 }
 
-void Router::apply_bans(const Bans& bans) {
-  HostList part = hand_.set_bans(bans, clock_.now());
+void Router::apply_bans(const DisabledServers& bans) {
+  HostList part = hand_.set_disabled(bans, clock_.now());
   if (part.hosts.empty()) return;
-  servers_.take_list(part);
+  servers_.apply_list(part);
   core_.list(ListScope::Delta, servers_of(part));
   core_.turn();  // yes means that the decisions know it
 }
@@ -447,9 +447,9 @@
   }
   json["backend_calls"] = servers_.counts().written;
   json["inflight"] = core_.unanswered() + clients_.streaming_values();
-  json["hosts_listed"] = hand_.listed().size();
-  json["hosts_down"] =
-      std::count_if(hand_.listed().begin(), hand_.listed().end(), [this](const auto& entry) {
+  json["hosts_listed"] = hand_.effective_hosts().size();
+  json["hosts_down"] = std::count_if(
+      hand_.effective_hosts().begin(), hand_.effective_hosts().end(), [this](const auto& entry) {
         return entry.second.server.health != robinseam::Health::Ready ||
                core_.live_fraction(entry.first) < kAvoided;
       });
@@ -461,9 +461,9 @@
 void Router::on_tick(evutil_socket_t, short, void* self) {
   auto* r = static_cast<Router*>(self);
   std::string error;
-  if (auto bans = r->ban_file_.look(error)) r->apply_bans(*bans);
+  if (auto bans = r->ban_file_.read_if_changed(error)) r->apply_bans(*bans);
   if (!error.empty()) std::fprintf(stderr, "arrowfork: %s\n", error.c_str());
-  r->handover_->tell_held(r->held_descriptors());
+  r->handover_->report_held_descriptors(r->held_descriptors());
 }
 
 // ---- a new version ----
@@ -476,11 +476,11 @@
     return;
   }
   std::fprintf(stderr, "arrowfork: takes over from the running process\n");
-  handover_->take();
+  handover_->announce_accepting();
   clients_.suspend_accepting(false);
 }
 
-void Router::on_successor() {
+void Router::on_successor_ready() {
   std::fprintf(stderr, "arrowfork: a new process accepts clients\n");
   clients_.suspend_accepting(true);
   share_out();
@@ -493,7 +493,7 @@
   share_out();
 }
 
-void Router::on_predecessor_holds(std::size_t descriptors) {
+void Router::on_predecessor_descriptors(std::size_t descriptors) {
   held_elsewhere_ = descriptors;
   share_out();
 }
@@ -516,7 +516,7 @@
   if (successor || held_elsewhere_ > 0) part.memory_bytes /= 2;
   part.sockets = std::max(kLeastSockets, part.sockets - std::min(part.sockets, held_elsewhere_));
   ServerSide::Limits servers = server_limits(part);
-  if (successor) servers.connections = std::max<std::size_t>(1, servers_.connections());
+  if (successor) servers.max_connections = std::max<std::size_t>(1, servers_.connections());
   servers_.set_limits(servers);
   clients_.set_limits(client_limits(part));
 }
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -7,12 +7,12 @@
 #include <utility>
 #include <vector>
 
-#include "../control/control.hpp"
+#include "../control/control_server.hpp"
 #include "../control/handover.hpp"
 #include "../core/core.hpp"
 #include "../io/io.hpp"
-#include "../membership/ban_file.hpp"
-#include "../membership/hand_list.hpp"
+#include "../membership/disabled_servers_file.hpp"
+#include "../membership/operator_overrides.hpp"
 #include "client_side.hpp"
 #include "config.hpp"
 #include "discovery.hpp"
@@ -26,7 +26,7 @@
 class Router final : ServerSide::Handler,
                      Discovery::Handler,
                      Lister,
-                     Control::Handler,
+                     ControlServer::Handler,
                      Handover::Handler {
  public:
   /// Throws ConfigError when the configuration can't be used. `clock` must outlive the router.
@@ -70,26 +70,26 @@
   }
   // Discovery::Handler
   void on_hosts(HostList&& list) override;
-  void on_drains(const HostList& list, bool unnamed_have_left) override;
+  void on_drains(const HostList& list, bool drain_unlisted) override;
   void on_call_failed() override { recovery_.record_call_failure(clock_.now()); }
   void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
   // Lister
   void watch() override;
   void fetch() override { discovery_.fetch(); }
 
-  // Control::Handler
-  std::string on_control(const ControlCall& call) override;
+  // ControlServer::Handler
+  std::string on_control_call(const ControlCall& call) override;
   // Handover::Handler
-  int listener() override { return clients_.listener(); }
-  std::string list() override { return text_of(hand_.told()); }
-  void on_successor() override;
+  int listening_socket() override { return clients_.listener(); }
+  std::string server_list() override { return text_of(hand_.discovered_list()); }
+  void on_successor_ready() override;
   void on_successor_lost() override;
-  void on_client(Fd&& client) override { clients_.adopt(std::move(client)); }
-  void on_predecessor_holds(std::size_t descriptors) override;
+  void on_client_handed_over(Fd&& client) override { clients_.adopt(std::move(client)); }
+  void on_predecessor_descriptors(std::size_t descriptors) override;
   void on_predecessor_gone() override;
 
   std::string set_out(const std::string& id, bool out);
-  void apply_bans(const Bans& bans);
+  void apply_bans(const DisabledServers& bans);
   /// Accepts clients in the predecessor's place as soon as they can be served.
   void take_over_if_ready();
   std::size_t held_descriptors() const;
@@ -129,14 +129,14 @@
   ServerSide servers_;
   ClientSide clients_;
   Discovery discovery_;
-  HandList hand_;
-  BanFile ban_file_;
+  OperatorOverrides hand_;
+  DisabledServersFile ban_file_;
   mutable robinseam::recovery::Recovery recovery_;  // its view moves on with time alone
   robinseam::recovery::Phase told_phase_ = robinseam::recovery::Phase::Starting;
   bool told_overdue_ = false;
   std::uint64_t served_seen_ = 0, unserved_seen_ = 0;
   Micros pulse_at_;
-  std::unique_ptr<Control> control_;
+  std::unique_ptr<ControlServer> control_;
   std::unique_ptr<Handover> handover_;
   bool taking_over_ = false;        // the predecessor still accepts
   std::size_t held_elsewhere_ = 0;  // descriptors of the other process of an upgrade
