--- a/src/emu/rules.cpp
+++ b/src/emu/rules.cpp
@@ -294,7 +294,7 @@
   void observe_end(Micros, const AdmissionRequest& ask, Evidence evidence,
                    Micros latency) override {
     if (evidence == Evidence::None) return;
-    bool bad = evidence == Evidence::Bad || latency > ask.objective;
+    bool bad = evidence == Evidence::Bad || latency > ask.latency_objective;
     ++(bad ? doors_[ask.cached].bad : doors_[ask.cached].good);
   }
 
--- a/src/limits/draws.hpp
+++ b/src/limits/draws.hpp
@@ -1,4 +1,4 @@
-// Numbers that names and seeds are turned into: the same on every machine.
+// Hashes of names and pseudo-random draws from seeds, the same on every machine.
 #pragma once
 
 #include <cstdint>
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -9,192 +9,204 @@
 namespace {
 
 constexpr Micros kMilli = 1000;
-// Budgets. Tokens per first try for further attempts and for second copies, and their caps.
+// Budgets: tokens that a first try earns for retries and for hedges, and their upper bounds.
 constexpr double kRetryPerRequest = 0.03;
 constexpr double kRetryCap = 10;
-constexpr double kCopyPerRequest = 0.03;
-constexpr double kCopyCap = 3;
-// Tokens for one more attempt, by RetryCause: a broken one has nothing to do with load and takes
-// the place of an attempt that served nothing. At its price the budget bears three of ten attempts
-// that fail so; should all servers break all connections, the bound is max_attempts for a request
-// until the tokens run out.
-constexpr std::array<double, 3> kPrice{0.1, 0.25, 1};
-// Fetches. The origin is shared by all routers and answers a fetch, so few at once reach far; a cut
-// of a fifth was too slow for a dozen routers to agree on less.
-constexpr WindowParameters kFetchRules{.cut = 0.5, .signals = 2};
-// The least window is the tier's, since one origin must bear the sum: so many fetches may always be
-// out over all its routers, whose part may be less than one. With twelve, a fleet at its capacity
-// did not come out of a jam on one of four seeds; with eight on all (docs/design/limits.md).
+constexpr double kHedgePerRequest = 0.03;
+constexpr double kHedgeCap = 3;
+// Tokens that a retry costs, by RetryCause. A broken attempt has nothing to do with load, and its
+// retry replaces an attempt that served nothing. At its price the budget bears three of ten
+// attempts that fail so; should all servers break all connections, max_attempts bounds a request's
+// retries until the tokens run out.
+constexpr std::array<double, 3> kRetryPrice{0.1, 0.25, 1};
+// All routers share the origin and it answers a fetch, so a few in flight at once suffice; a cut of
+// a fifth was too slow for a dozen routers to agree on less.
+constexpr WindowParameters kFetchWindow{.cut = 0.5, .signals = 2};
+// The least window is the tier's, since one origin bears the sum: so many fetches may always be in
+// flight over all routers, whose share of it may be below one. With twelve, a fleet at its capacity
+// did not recover from an overload on one of four seeds; with eight it did on all
+// (docs/design/limits.md).
 constexpr double kTierFetches = 8;
 // So many fetches lost in a row, each within this time of the last and at another server, and none
-// of them before an answer in time was over (a server's own errors come at once): the origin is
-// jammed. A router of a large tier sees one end a second, and its cuts by signals took 12 s from
-// 256 to what a jammed origin can take. By two, join+mass 454547756054 refused a third more.
-constexpr Micros kJamSpan = 2'000 * kMilli;
-constexpr int kJamRun = 3;
-constexpr double kWhole = 0.5;  // weights above it are fetches that count alone
-// The tier's part that goes on into a jam, from which windows grow again by good ends.
-constexpr double kTierJammed = 32;
-constexpr double kMissGain = 0.05;    // of one answer in the shares of misses
-constexpr double kMissUntold = 0.02;  // of one that was never answered
-constexpr double kHeldMisses = 0.05;  // presumed
-constexpr double kLostGain = 0.05;    // of one fetch in the part lost
-constexpr Micros kFloorHolds = kMilli * 1000;
-constexpr double kFetchLeast = 0.15;  // a smaller weight isn't worth an account
-// Which part of the window each kind may fill: what earns less leaves room for what earns more.
-constexpr double kPartRare = 0.8;   // a key that is not asked for often
-constexpr double kPartOver = 0.3;   // beyond its banner's share
-constexpr double kPartWrite = 1.2;  // a few in a hundred; nothing else can be served for them
-constexpr double kPartLate = 0.7;   // a client's further try, too late for an answer in time
-constexpr double kPartWorth = 0.6;  // what is worth next to nothing for its work
-constexpr double kTurnedHalf = 250.0 * kMilli;
-constexpr double kTurnedGain = 0.05;
-constexpr Micros kPressed = 100 * kMilli;
-// What a refusal tells the client to wait: about what a token of the retry budget takes to come,
-// and up to the most by the part that is refused.
-constexpr Micros kComeBack = 50 * kMilli;
-
-WindowParameters fetch_rules(int routers) {
-  WindowParameters rules = kFetchRules;
-  rules.least = kTierFetches / std::max(1, routers);
-  return rules;
+// before the latency objective had passed (a server's own errors come at once), mean that the
+// origin is overloaded. A router of a large tier sees one fetch end a second, and cuts by signals
+// took 12 s from 256 to what an overloaded origin can take. With two losses instead of three,
+// join+mass 454547756054 refused a third more.
+constexpr Micros kOverloadSpan = 2'000 * kMilli;
+constexpr int kOverloadLosses = 3;
+constexpr double kFullFetchWeight = 0.5;  // only fetches above this weight count here
+// What the whole tier keeps in flight at an overloaded origin; windows grow from there by good
+// ends.
+constexpr double kTierOverloadCap = 32;
+constexpr double kMissGain = 0.05;            // weight of one answer in the miss shares
+constexpr double kUnansweredMissGain = 0.02;  // weight of an attempt that was never answered
+constexpr double kInitialCachedMisses = 0.05;
+constexpr double kLossGain = 0.05;  // weight of one fetch in the loss share
+constexpr Micros kFloorValidFor = kMilli * 1000;
+constexpr double kMinFetchWeight = 0.15;  // smaller weights are not counted
+// Which share of the window each kind of request may fill: what earns less leaves capacity for what
+// earns more.
+constexpr double kShareUnpopular = 0.8;  // a key that is rarely requested
+constexpr double kShareOverQuota = 0.3;  // beyond the tenant's share
+constexpr double kShareWrite = 1.2;      // a few in a hundred; nothing cached can be served instead
+constexpr double kShareLate = 0.7;       // a client's retry, too late for the latency objective
+constexpr double kShareLowWorth = 0.6;   // worth next to nothing for its work
+constexpr double kShedHalfLifeUs = 250.0 * kMilli;
+constexpr double kShedGain = 0.05;
+constexpr Micros kSheddingFor = 100 * kMilli;
+// Least wait that a refusal names: about the time until the retry budget earns a token. It grows to
+// the maximum with the share that is shed.
+constexpr Micros kMinRetryAfter = 50 * kMilli;
+
+WindowParameters fetch_window(int routers) {
+  WindowParameters window = kFetchWindow;
+  window.least = kTierFetches / std::max(1, routers);
+  return window;
 }
 
-std::unique_ptr<ConcurrencyLimit> made(const RuleMaker& maker, Place place,
-                                       const WindowParameters& usual) {
-  return maker ? maker(place) : std::make_unique<Window>(usual);
+std::unique_ptr<ConcurrencyLimit> make_limit(const RuleMaker& factory, Place place,
+                                             const WindowParameters& window) {
+  return factory ? factory(place) : std::make_unique<Window>(window);
 }
 
 }  // namespace
 
-Limits::Limits(const Settings& settings, RuleMaker maker)
-    : maker_(std::move(maker)),
-      fetches_(made(maker_, Place::Origin, fetch_rules(settings.routers))),
-      miss_share_{1, kHeldMisses},
-      jam_(kTierJammed / std::max(1, settings.routers)),
+Limits::Limits(const Settings& settings, RuleMaker factory)
+    : factory_(std::move(factory)),
+      fetch_limit_(make_limit(factory_, Place::Origin, fetch_window(settings.routers))),
+      miss_share_{1, kInitialCachedMisses},
+      overload_cap_(kTierOverloadCap / std::max(1, settings.routers)),
       retry_tokens_(kRetryCap / 2 * recovery::initial_budget_share(settings.routers)),
       broken_tokens_(kRetryCap / 2 - retry_tokens_),
-      copy_tokens_(kCopyCap / 2 * recovery::initial_budget_share(settings.routers)),
-      held_part_(1 - recovery::initial_budget_share(settings.routers)),
-      max_wait_(settings.max_retry_after) {}
+      hedge_tokens_(kHedgeCap / 2 * recovery::initial_budget_share(settings.routers)),
+      withheld_share_(1 - recovery::initial_budget_share(settings.routers)),
+      max_retry_after_(settings.max_retry_after) {}
 
 std::unique_ptr<ConcurrencyLimit> Limits::make_server_limit() const {
-  return made(maker_, Place::Server, kServerWindow);
+  return make_limit(factory_, Place::Server, kServerWindow);
 }
 
-double Limits::fetch_weight(const AdmissionRequest& ask) const {
-  double weight = ask.write ? 1 : miss_share_[ask.cached];
-  return weight < kFetchLeast ? 0 : weight;
+double Limits::fetch_weight(const AdmissionRequest& request) const {
+  double weight = request.write ? 1 : miss_share_[request.cached];
+  return weight < kMinFetchWeight ? 0 : weight;
 }
 
-double Limits::window_share(const AdmissionRequest& ask) const {
-  return std::clamp(kPartWorth + (1 - kPartWorth) * ask.value, kPartWorth, 1.0) *
-         (1 - (1 - kPartOver) * ask.over_share);
+double Limits::window_share(const AdmissionRequest& request) const {
+  return std::clamp(kShareLowWorth + (1 - kShareLowWorth) * request.value, kShareLowWorth, 1.0) *
+         (1 - (1 - kShareOverQuota) * request.over_share);
 }
 
-bool Limits::admits(Micros now, const AdmissionRequest& ask) {
-  double weight = fetch_weight(ask);
-  bool in = fetches_->admits_request(now, ask);
-  if (in && weight > 0) {
-    // A refused key that is held costs (1 - w) of a hit for w of a fetch.
-    double part = ask.write ? kPartWrite : ask.cached ? 1 / weight : ask.popular ? 1 : kPartRare;
-    part *= 1 - (1 - kPartOver) * ask.over_share;
-    if (ask.late) part *= kPartLate;
-    in = fetches_->has_capacity(now, weight, part);
-    // Out of time before it has begun: no fetch is as quick. Not by what fetches take now, which
-    // would refuse all until a few had brought that down, then none.
-    // And only while fetches end: a floor that none comes to correct would shut the door for good.
-    in &= now - fetch_ended_at_ > kFloorHolds ||
-          static_cast<double>(ask.remaining) >= fetches_->latency_floor() / 2;
+bool Limits::admits(Micros now, const AdmissionRequest& request) {
+  double weight = fetch_weight(request);
+  bool admitted = fetch_limit_->admits_request(now, request);
+  if (admitted && weight > 0) {
+    // Refusing a cached key of miss share w loses (1 - w) of a hit to save w of a fetch.
+    double share = request.write     ? kShareWrite
+                   : request.cached  ? 1 / weight
+                   : request.popular ? 1
+                                     : kShareUnpopular;
+    share *= 1 - (1 - kShareOverQuota) * request.over_share;
+    if (request.late) share *= kShareLate;
+    admitted = fetch_limit_->has_capacity(now, weight, share);
+    // Refuses a request whose remaining time is shorter than any fetch takes. Judged by the latency
+    // floor: by the current latency all would be refused until a few had brought it down, then
+    // none. Only while fetches end: a floor that no fetch updates would refuse requests for good.
+    admitted &= now - last_fetch_end_at_ > kFloorValidFor ||
+                static_cast<double>(request.remaining) >= fetch_limit_->latency_floor() / 2;
   }
-  note_turned(now, ask.cached, !in);
-  return in;
+  record_admission(now, request.cached, !admitted);
+  return admitted;
 }
 
 void Limits::record_end(Micros now, Micros sent_at, std::size_t server, double weight,
-                        Evidence evidence, bool at_fault, Micros latency, int note,
-                        const AdmissionRequest& ask) {
-  fetches_->observe_end(now, ask, evidence, latency);
-  if (!ask.write) {
-    double& share = miss_share_[ask.cached];
-    if (evidence == Evidence::Good && note > 0)
-      share += kMissGain * ((note > 1) - share);
+                        Evidence evidence, bool at_fault, Micros latency, int cache_result,
+                        const AdmissionRequest& request) {
+  fetch_limit_->observe_end(now, request, evidence, latency);
+  if (!request.write) {
+    double& share = miss_share_[request.cached];
+    if (evidence == Evidence::Good && cache_result > 0)
+      share += kMissGain * ((cache_result > 1) - share);
     else if (evidence == Evidence::Bad)
-      share += kMissUntold * (1 - share);
+      share += kUnansweredMissGain * (1 - share);
   }
-  // A hit says nothing of the origin, but that it was not asked.
-  if (evidence == Evidence::Good && note == 1) evidence = Evidence::None;
-  if (weight > 0 && evidence != Evidence::None) fetch_ended_at_ = now;
+  // A hit tells nothing about the origin, which was not asked.
+  if (evidence == Evidence::Good && cache_result == 1) evidence = Evidence::None;
+  if (weight > 0 && evidence != Evidence::None) last_fetch_end_at_ = now;
   double blame = 1;
   if (evidence != Evidence::None && weight > 0) {
-    blame_.record_fetch(now, server, evidence == Evidence::Bad);
-    if (evidence == Evidence::Bad) blame = blame_.origin_share(now, server);
-    fetches_lost_ += kLostGain * weight * ((evidence == Evidence::Bad) * blame - fetches_lost_);
+    attribution_.record_fetch(now, server, evidence == Evidence::Bad);
+    if (evidence == Evidence::Bad) blame = attribution_.origin_share(now, server);
+    fetch_loss_share_ +=
+        kLossGain * weight * ((evidence == Evidence::Bad) * blame - fetch_loss_share_);
   }
-  if (evidence == Evidence::Good && weight > 0) lost_run_ = 0;
-  // Before the servers' own faults are left out: by one or two losses each server looks at fault.
-  if (evidence == Evidence::Bad && weight > kWhole && latency >= ask.objective &&
-      (lost_run_ == 0 || lost_server_ != server)) {
-    lost_run_ = now - lost_at_ < kJamSpan ? lost_run_ + 1 : 1;
-    if (lost_run_ >= kJamRun) fetches_->cap_for_overload(now, jam_);
-    lost_at_ = now, lost_server_ = server;
+  if (evidence == Evidence::Good && weight > 0) consecutive_losses_ = 0;
+  // Checked before the servers' own faults are excluded: after one or two losses each server looks
+  // at fault.
+  if (evidence == Evidence::Bad && weight > kFullFetchWeight &&
+      latency >= request.latency_objective &&
+      (consecutive_losses_ == 0 || last_loss_server_ != server)) {
+    consecutive_losses_ = now - last_loss_at_ < kOverloadSpan ? consecutive_losses_ + 1 : 1;
+    if (consecutive_losses_ >= kOverloadLosses) fetch_limit_->cap_for_overload(now, overload_cap_);
+    last_loss_at_ = now, last_loss_server_ = server;
   }
   if (evidence == Evidence::Bad && at_fault) evidence = Evidence::None;
-  // The servers' own queues are part of a fetch's latency, so not each above the aim is a signal.
-  fetches_->record_end(now, sent_at, weight, evidence, static_cast<double>(latency),
-                       2 * static_cast<double>(ask.objective), blame);
+  // A fetch's latency includes the server's own queue, so not each latency above the objective is a
+  // signal.
+  fetch_limit_->record_end(now, sent_at, weight, evidence, static_cast<double>(latency),
+                           2 * static_cast<double>(request.latency_objective), blame);
 }
 
 void Limits::earn_tokens() {
   retry_tokens_ = std::min(kRetryCap, retry_tokens_ + kRetryPerRequest);
-  copy_tokens_ = std::min(kCopyCap, copy_tokens_ + kCopyPerRequest);
+  hedge_tokens_ = std::min(kHedgeCap, hedge_tokens_ + kHedgePerRequest);
 }
 
 void Limits::release_withheld_budget() {
-  retry_tokens_ = std::min(kRetryCap, retry_tokens_ + kRetryCap / 2 * held_part_);
-  copy_tokens_ = std::min(kCopyCap, copy_tokens_ + kCopyCap / 2 * held_part_);
-  held_part_ = 0;
+  retry_tokens_ = std::min(kRetryCap, retry_tokens_ + kRetryCap / 2 * withheld_share_);
+  hedge_tokens_ = std::min(kHedgeCap, hedge_tokens_ + kHedgeCap / 2 * withheld_share_);
+  withheld_share_ = 0;
 }
 
 bool Limits::spend_retry(RetryCause cause) {
-  double price = kPrice[static_cast<std::size_t>(cause)];
-  // What a router begins with beyond its part of the tier's is for broken attempts alone, and until
-  // its list has been confirmed: one that names servers that are gone has to be found out, and that
-  // loads nobody. Kept longer it cost wide+huge 22 0.03 of G.
-  double& from =
+  double price = kRetryPrice[static_cast<std::size_t>(cause)];
+  // What a router starts with beyond its share of the tier's budget pays only for broken attempts,
+  // and only until its list is confirmed: a list that names servers that are gone has to be
+  // detected, and those retries load nobody. Kept longer, it cost wide+huge 22 0.03 of G.
+  double& tokens =
       cause == RetryCause::Broken && retry_tokens_ < price ? broken_tokens_ : retry_tokens_;
-  if (from < price) return false;
-  from -= price;
+  if (tokens < price) return false;
+  tokens -= price;
   return true;
 }
 
 bool Limits::spend_hedge() {
-  if (copy_tokens_ < 1) return false;
-  copy_tokens_ -= 1;
+  if (hedge_tokens_ < 1) return false;
+  hedge_tokens_ -= 1;
   return true;
 }
 
-void Limits::note_turned(Micros now, bool held, bool refused) {
-  Turned& t = turned_[held];
-  t.share = this->shed_share(now, held);
-  t.at = now;
-  t.share += kTurnedGain * (refused - t.share);
-  if (refused) refused_at_ = now;
+void Limits::record_admission(Micros now, bool cached, bool shed) {
+  ShedRate& rate = shed_[cached];
+  rate.share = this->shed_share(now, cached);
+  rate.updated_at = now;
+  rate.share += kShedGain * (shed - rate.share);
+  if (shed) last_shed_at_ = now;
 }
 
-double Limits::shed_share(Micros now, bool held) const {
-  const Turned& t = turned_[held];
-  return t.share * std::exp2(-static_cast<double>(now - t.at) / kTurnedHalf);
+double Limits::shed_share(Micros now, bool cached) const {
+  const ShedRate& rate = shed_[cached];
+  return rate.share * std::exp2(-static_cast<double>(now - rate.updated_at) / kShedHalfLifeUs);
 }
 
 bool Limits::is_shedding(Micros now) const {
-  return refused_at_ >= 0 && now - refused_at_ < kPressed;
+  return last_shed_at_ >= 0 && now - last_shed_at_ < kSheddingFor;
 }
 
 Micros Limits::retry_after(Micros now, double chance) const {
   double share = std::max(shed_share(now, false), shed_share(now, true));
-  double wait = static_cast<double>(kComeBack) + share * static_cast<double>(max_wait_ - kComeBack);
-  wait = std::min(wait, static_cast<double>(max_wait_));
+  double wait = static_cast<double>(kMinRetryAfter) +
+                share * static_cast<double>(max_retry_after_ - kMinRetryAfter);
+  wait = std::min(wait, static_cast<double>(max_retry_after_));
   return static_cast<Micros>(wait * (1 - 0.5 * chance));
 }
 
--- a/src/limits/server_kind_speeds.cpp
+++ b/src/limits/server_kind_speeds.cpp
@@ -6,13 +6,14 @@
 namespace robinseam::limits {
 namespace {
 
-// Kinds come with the list; what names more is not believed, so that the state stays bounded.
-constexpr std::size_t kMostKinds = 32;
-constexpr double kLeastSeen = 10;  // answers of a kind before it is compared
-constexpr double kGain = 0.02;     // of one answer, at least: some ten seconds at a small router
+// Kinds are named by the host list; further ones are ignored, so that the state stays bounded.
+constexpr std::size_t kMaxKinds = 32;
+constexpr double kMinSamples = 10;  // answers of a kind before it is compared
+// Least smoothing weight of one answer: averages over some ten seconds at a small router.
+constexpr double kMinGain = 0.02;
 // Spread of the logarithm of one latency about its kind's mean, as the scale of a logistic curve:
 // hints are rough and servers' queues differ, together about half an e-fold (0.5 * sqrt(3) / pi).
-constexpr double kSpread = 0.28;
+constexpr double kLogLatencyScale = 0.28;
 
 }  // namespace
 
@@ -20,29 +21,30 @@
   if (work <= 0 || latency <= 0) return;
   auto it = kinds_.find(kind);
   if (it == kinds_.end()) {
-    if (kinds_.size() >= kMostKinds) return;
-    it = kinds_.emplace(kind, Pace()).first;
+    if (kinds_.size() >= kMaxKinds) return;
+    it = kinds_.emplace(kind, KindSpeed()).first;
   }
-  Pace& p = it->second;
-  p.seen = std::min(p.seen + 1, 1 / kGain);
+  KindSpeed& speed = it->second;
+  speed.samples = std::min(speed.samples + 1, 1 / kMinGain);
   double value = std::log(static_cast<double>(latency) / static_cast<double>(work));
-  p.log_factor += std::max(kGain, 1 / p.seen) * (value - p.log_factor);
+  speed.log_factor += std::max(kMinGain, 1 / speed.samples) * (value - speed.log_factor);
 }
 
-double ServerKindSpeeds::in_time(const Pace& pace, double work, double aim) {
-  return 1 / (1 + std::exp((pace.log_factor + std::log(work / aim)) / kSpread));
+double ServerKindSpeeds::in_time(const KindSpeed& speed, double work, double objective) {
+  return 1 / (1 + std::exp((speed.log_factor + std::log(work / objective)) / kLogLatencyScale));
 }
 
 double ServerKindSpeeds::gain_at_fastest_kind(const std::string& kind, Micros work,
-                                              Micros aim) const {
+                                              Micros objective) const {
   auto it = kinds_.find(kind);
-  if (work <= 0 || aim <= 0 || it == kinds_.end() || it->second.seen < kLeastSeen) return 0;
-  auto chance = [&](const Pace& p) {
-    return in_time(p, static_cast<double>(work), static_cast<double>(aim));
+  if (work <= 0 || objective <= 0 || it == kinds_.end() || it->second.samples < kMinSamples)
+    return 0;
+  auto probability = [&](const KindSpeed& speed) {
+    return in_time(speed, static_cast<double>(work), static_cast<double>(objective));
   };
-  double here = chance(it->second), best = here;
-  for (const auto& [name, pace] : kinds_)
-    if (pace.seen >= kLeastSeen) best = std::max(best, chance(pace));
+  double here = probability(it->second), best = here;
+  for (const auto& [name, speed] : kinds_)
+    if (speed.samples >= kMinSamples) best = std::max(best, probability(speed));
   return best - here;
 }
 
--- a/src/limits/slow_start.cpp
+++ b/src/limits/slow_start.cpp
@@ -9,37 +9,39 @@
 namespace {
 
 constexpr double kSecond = 1'000'000;
-// Of a budget that is more than a request a window, so much of one is saved up: with all of it, a
-// hot key that came after a quiet spell spent twice the budget at once.
-constexpr double kBurst = 0.4;
-// Windows for which a token may wait for its request. All that the tier has in hand at once is then
-// so many windows' budget at most, and that is about a quarter of what makes a server fall.
-constexpr double kLife = 3;
-// Beyond this mean what comes is taken for the mean.
-constexpr double kMany = 16;
+// Share of one window's budget that can be saved up, where the budget is above one request: with
+// all of it, a hot key that arrived after a quiet period spent twice the budget at once.
+constexpr double kBurstShare = 0.4;
+// Lifetime of a token in windows. The tokens of the whole tier are then at most so many windows'
+// budget, which is about a quarter of what makes a server fail.
+constexpr double kTokenLifeWindows = 3;
+// Above this mean the Poisson count is replaced by its mean.
+constexpr double kMaxPoissonMean = 16;
 
 }  // namespace
 
 bool SlowStart::admits(Micros now, double rate, Micros window, double cost) {
   seed_ = mix(seed_ + 1);
   double chance = static_cast<double>(seed_ >> 11) / 9007199254740992.0;
-  double life = kLife * static_cast<double>(window);
-  double mean = rate * std::min(life, static_cast<double>(now - at_)) / kSecond;
-  double came = mean;
-  if (mean < kMany) {  // by inversion; what is left of the chance is uniform again
-    double part = std::exp(-mean);
-    for (came = 0; chance >= part && part > 0; part *= mean / ++came) chance -= part;
-    chance = part > 0 ? chance / part : 0;
+  double life = kTokenLifeWindows * static_cast<double>(window);
+  double mean = rate * std::min(life, static_cast<double>(now - updated_at_)) / kSecond;
+  double arrived = mean;
+  if (mean < kMaxPoissonMean) {  // by inversion; the rest of the chance is uniform again
+    double probability = std::exp(-mean);
+    for (arrived = 0; chance >= probability && probability > 0; probability *= mean / ++arrived)
+      chance -= probability;
+    chance = probability > 0 ? chance / probability : 0;
   }
-  if (came > 0)
-    fresh_ = now;
-  else if (static_cast<double>(now - fresh_) > life)
+  if (arrived > 0)
+    last_token_at_ = now;
+  else if (static_cast<double>(now - last_token_at_) > life)
     tokens_ = 0;
-  at_ = now;
-  double most = std::max(1.0, kBurst * rate * static_cast<double>(window) / kSecond);
-  tokens_ = std::min(tokens_ + came, most);
+  updated_at_ = now;
+  double capacity = std::max(1.0, kBurstShare * rate * static_cast<double>(window) / kSecond);
+  tokens_ = std::min(tokens_ + arrived, capacity);
   if (tokens_ >= cost) return true;
-  // A large request goes with the chance that the tokens pay for, and takes them in any case.
+  // A request that costs more is sent with the probability that the tokens pay for, and takes the
+  // tokens in any case.
   if (chance * cost < tokens_) return true;
   tokens_ = 0;
   return false;
--- a/src/limits/slow_start.hpp
+++ b/src/limits/slow_start.hpp
@@ -1,12 +1,13 @@
-// A router's part of what a server that has just started may be sent (slow start): tokens in units
-// of a mean request, at a rate that follows the server's warmth. Pure: times, rates and chances
-// come in, chances from a seed of its own, so that asking moves no other decision's draws.
+// Slow start: limits what one router sends to a server that has just started. Tokens in units of a
+// mean request arrive at a rate that follows how warm the server is. Times, rates and a seed are
+// passed in; it draws from a seed of its own, so that its calls do not shift other decisions'
+// draws.
 //
-// All routers' parts have to stay within the server's budget together, without their agreeing, and
-// one part may be a small fraction of a request in the time that the settings watch. So tokens come
-// whole, at random times (a Poisson process, whose sum over the routers is one again), and are void
-// some time later: a hot key or a failover that reaches all routers at once finds few of them with
-// a token in hand, and a router that has only such servers still gets its share.
+// The routers do not coordinate, but together have to stay within the server's budget, and one
+// router's share may be a small fraction of a request in the time window that the settings give. So
+// tokens arrive whole, at random times (a Poisson process, whose sum over the routers is one too),
+// and expire some time later: when a hot key or a failover reaches all routers at once, few of them
+// have a token, while a router that knows only such servers still gets its share.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +18,20 @@
 
 class SlowStart {
  public:
-  /// The server has just started, or has been heard of. `chance` is uniform from 0 to 1.
+  /// The server has just started or has just been listed. `chance` is uniform from 0 to 1.
   void reset(Micros now, double chance) {
-    tokens_ = 0, at_ = fresh_ = now;
+    tokens_ = 0, updated_at_ = last_token_at_ = now;
     seed_ = static_cast<std::uint64_t>(chance * 9007199254740992.0);
   }
-  /// Whether a request of that cost may go. `rate`: mean requests a second that are this router's;
-  /// `window`: the time in which a server falls.
+  /// Whether a request of that cost may be sent. `rate`: this router's mean requests a second;
+  /// `window`: the time of overload after which a cold server fails.
   bool admits(Micros now, double rate, Micros window, double cost);
   void record_send(double cost) { tokens_ = tokens_ > cost ? tokens_ - cost : 0; }
 
  private:
   double tokens_ = 0;
   std::uint64_t seed_ = 0;
-  Micros at_ = 0, fresh_ = 0;  // looked at, and the last one came
+  Micros updated_at_ = 0, last_token_at_ = 0;
 };
 
 }  // namespace robinseam::limits
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -673,7 +673,7 @@
              .value = mean_value > 0 ? value / mean_value : 1,
              .over_share = over,
              .remaining = o.request.remaining,
-             .objective = c.aim};
+             .latency_objective = c.aim};
     return !lim.admits(now, o.ask);
   }
 
