--- a/src/recovery/discovery_backoff.hpp
+++ b/src/recovery/discovery_backoff.hpp
@@ -1,9 +1,9 @@
-// When a router asks discovery for its list: at its start, again after a failure, and again beside
-// a call that nothing is heard of. Pure: times and chances come in, spans go out.
+// When a router calls discovery for its list: at its start, again after a failure, and a second
+// time beside a call that stays silent. Pure: chances come in, delays go out.
 //
-// A router can't know how many came back with it, so every span assumes that the whole tier did:
-// N routers ask within N calls' time. What it may lose by waiting differs: without a server to
-// route to it refuses everything, with one it only acts on an older list.
+// A router cannot know how many others restarted with it, so every delay assumes that the whole
+// tier did: N routers call within N calls' time. What a longer delay costs differs: without a
+// server to route to the router refuses everything, with one it only acts on an older list.
 #pragma once
 
 #include "robinseam/balancer.hpp"
@@ -14,40 +14,40 @@
  public:
   DiscoveryBackoff(int routers, Micros ask_within) : routers_(routers), ask_within_(ask_within) {}
 
-  /// Whether a server is held that may get something new.
+  /// Whether the current list has a server that may get new requests.
   void set_usable(bool usable) { usable_ = usable; }
   bool usable() const { return usable_; }
 
-  /// `chance` is uniform from 0 to 1 in all of these; the spans are what a timer has to wait.
+  /// In all of these `chance` is uniform from 0 to 1 and the result is a delay for a timer.
   /// Until the first call.
   Micros first_delay(double chance) const;
-  /// Until a call is made beside the one that begins now, should nothing be heard of it.
+  /// Until a second call is made beside the one that starts now, should that one stay silent.
   Micros silent_call_delay(double chance);
   /// Until the next call after one that failed.
   Micros delay_after_failure(double chance);
-  /// When a list may have come, where the next call begins in `span`: for those who are refused
-  /// until then.
+  /// How long until a list may have come, where the next call starts in `span`: what clients that
+  /// are refused until then should wait.
   Micros list_wait(Micros span, double chance) const;
-  /// A list has come.
+  /// Discovery has answered with a list.
   void record_list() {
-    failures_ = silent_ = 0;
+    failures_ = silent_calls_ = 0;
     confirmed_ = true;
   }
 
-  /// The server of that number can't be reached, and nobody has confirmed the held list: true once
-  /// two servers say so, and the list should be asked for before its time.
+  /// A server could not be reached. True once: when a second server is unreachable while discovery
+  /// has not confirmed the list, so that the list should be requested early.
   bool record_unreachable(int server);
 
  private:
-  double tier_calls() const;
+  double tier_call_time() const;
 
   int routers_;
   Micros ask_within_;
   bool usable_ = false;
-  int failures_ = 0;        // in a row
-  int silent_ = 0;          // calls in a row of which nothing was heard
-  int doubted_ = -1;        // a server that was not reached
-  bool confirmed_ = false;  // by discovery; or it is being asked whether it is
+  int failures_ = 0;             // in a row
+  int silent_calls_ = 0;         // calls in a row without any answer
+  int unreachable_server_ = -1;  // the first one that was not reached
+  bool confirmed_ = false;       // by discovery, or discovery is being called to confirm it
 };
 
 }  // namespace robinseam::recovery
--- a/src/recovery/keyed_writes.cpp
+++ b/src/recovery/keyed_writes.cpp
@@ -6,41 +6,42 @@
 
 KeyedWrites::KeyedWrites(const std::vector<ClassSettings>& classes) {
   for (const ClassSettings& c : classes)
-    if (c.effect == Effect::Keyed) keep_ = std::max(keep_, c.key_ttl + c.deadline);
+    if (c.effect == Effect::Keyed) keep_for_ = std::max(keep_for_, c.key_ttl + c.deadline);
 }
 
-void KeyedWrites::forget_oldest() {
-  auto [noted, name] = order_.front();
+void KeyedWrites::evict_oldest() {
+  auto [recorded_at, key_hash] = order_.front();
   order_.pop_front();
-  auto at = all_.find(name);
-  if (at != all_.end() && at->second.recorded_at == noted) all_.erase(at);  // else it never ran
+  auto at = writes_.find(key_hash);
+  if (at != writes_.end() && at->second.recorded_at == recorded_at)
+    writes_.erase(at);  // otherwise it never ran
 }
 
 void KeyedWrites::expire(Micros now) {
-  while (!order_.empty() && order_.front().first + keep_ <= now) forget_oldest();
+  while (!order_.empty() && order_.front().first + keep_for_ <= now) evict_oldest();
 }
 
-KeyedWrites::FirstSend& KeyedWrites::note(Micros now, std::uint64_t name, bool& fresh) {
+KeyedWrites::FirstSend& KeyedWrites::find_or_add(Micros now, std::uint64_t key_hash, bool& added) {
   expire(now);
-  // By the order, which has those that never ran as well: it is bounded with the table.
+  // Bounded by the order, which also has those that never ran, so that both stay bounded.
   while (order_.size() >= kCapacity) {
-    std::size_t before = all_.size();
-    forget_oldest();
-    evicted_ += before - all_.size();
+    std::size_t before = writes_.size();
+    evict_oldest();
+    evicted_ += before - writes_.size();
   }
-  auto [at, added] = all_.try_emplace(name);
-  fresh = added;
-  if (added) {
+  auto [at, inserted] = writes_.try_emplace(key_hash);
+  added = inserted;
+  if (inserted) {
     at->second.recorded_at = now;
-    order_.emplace_back(now, name);
+    order_.emplace_back(now, key_hash);
   }
   return at->second;
 }
 
-void KeyedWrites::record_send(Micros now, std::uint64_t name, const Server& to) {
-  bool fresh = false;
-  FirstSend& first = note(now, name, fresh);
-  if (!fresh) {
+void KeyedWrites::record_send(Micros now, std::uint64_t key_hash, const Server& to) {
+  bool added = false;
+  FirstSend& first = find_or_add(now, key_hash, added);
+  if (!added) {
     ++first.possible_runs;
     return;
   }
@@ -48,20 +49,20 @@
   first.zone = to.zone, first.cell = to.cell;
 }
 
-void KeyedWrites::record_not_run(std::uint64_t name) {
-  auto at = all_.find(name);
-  if (at != all_.end() && --at->second.possible_runs == 0) all_.erase(at);
+void KeyedWrites::record_not_run(std::uint64_t key_hash) {
+  auto at = writes_.find(key_hash);
+  if (at != writes_.end() && --at->second.possible_runs == 0) writes_.erase(at);
 }
 
-void KeyedWrites::presume_sent(Micros now, std::uint64_t name, Micros deadline) {
-  bool fresh = false;
-  FirstSend& first = note(now, name, fresh);
-  if (fresh) first.sent_at = now - deadline, first.presumed = true;
+void KeyedWrites::presume_sent(Micros now, std::uint64_t key_hash, Micros deadline) {
+  bool added = false;
+  FirstSend& first = find_or_add(now, key_hash, added);
+  if (added) first.sent_at = now - deadline, first.presumed = true;
 }
 
-const KeyedWrites::FirstSend* KeyedWrites::first_send(std::uint64_t name) const {
-  auto at = all_.find(name);
-  return at == all_.end() ? nullptr : &at->second;
+const KeyedWrites::FirstSend* KeyedWrites::first_send(std::uint64_t key_hash) const {
+  auto at = writes_.find(key_hash);
+  return at == writes_.end() ? nullptr : &at->second;
 }
 
 bool KeyedWrites::is_deduplicated(const ClassSettings& type, const FirstSend& first, Micros until,
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -5,15 +5,16 @@
 namespace robinseam::recovery {
 namespace {
 
-constexpr double kPresumedAlone = 2;  // routers whose beginnings a tier bears at once
-// Service counts as full where so much of the last one to two spans was served. Judged by at least
-// so many requests, and without them by time alone: a router that nobody asks is not kept back.
-constexpr double kServed = 0.98;
+constexpr double kHarmlessRestarts = 2;  // routers whose full start budgets a tier can bear at once
+// Service counts as full where this share of the last one to two spans was served. Judged by at
+// least so many requests, and with fewer by time alone, so that a router without clients also gets
+// to full service.
+constexpr double kServedShare = 0.98;
 constexpr Micros kSpan = 1'000'000;
-constexpr int kLeastSeen = 5;
-// And this long after its list came the router takes itself for back whatever it serves: what is
-// refused from then on is load, not a return.
-constexpr Micros kLetsGo = 10'000'000;
+constexpr int kMinRequests = 5;
+// So long after its list came the router counts as recovered whatever it serves: refusals from then
+// on are due to load, not to the restart.
+constexpr Micros kMaxReturnTime = 10'000'000;
 
 }  // namespace
 
@@ -32,12 +33,12 @@
 }
 
 double initial_budget_share(int routers) {
-  return std::min(1.0, kPresumedAlone / std::max(1, routers));
+  return std::min(1.0, kHarmlessRestarts / std::max(1, routers));
 }
 
-void Recovery::enter(Micros now, Phase phase, const char* why) {
+void Recovery::enter(Micros now, Phase phase, const char* reason) {
   if (phase != phase_) since_ = now;
-  phase_ = phase, why_ = why;
+  phase_ = phase, reason_ = reason;
 }
 
 void Recovery::record_initial_list(Micros now, bool usable) {
@@ -49,8 +50,8 @@
 }
 
 void Recovery::record_list(Micros now, bool usable) {
-  bool first = told_at_ < 0 || (usable && !usable_);
-  told_at_ = now, usable_ = usable, failing_ = false;
+  bool first = list_confirmed_at_ < 0 || (usable && !usable_);
+  list_confirmed_at_ = now, usable_ = usable, calls_failing_ = false;
   if (!usable) return enter(now, Phase::Listing, "discovery names no usable server");
   if (phase_ == Phase::Full) return;
   enter(now, Phase::Returning, "service is not yet as it should be");
@@ -58,25 +59,27 @@
     since_ = now;
     spans_ = {};
   }
-  // Nobody came back with it: nothing has to be let go of.
-  if (routers_ <= static_cast<int>(kPresumedAlone)) enter(now, Phase::Full, "its list is of now");
-  look(now);
+  // No more than the harmless number of routers can have restarted: no need to wait.
+  if (routers_ <= static_cast<int>(kHarmlessRestarts))
+    enter(now, Phase::Full, "its list is of now");
+  update_phase(now);
 }
 
 void Recovery::record_call_failure(Micros now) {
-  failing_ = true;
-  if (phase_ == Phase::Listing) why_ = "discovery does not answer";
-  if (phase_ == Phase::Returning && told_at_ < 0) why_ = "discovery has not confirmed its list";
-  look(now);
+  calls_failing_ = true;
+  if (phase_ == Phase::Listing) reason_ = "discovery does not answer";
+  if (phase_ == Phase::Returning && list_confirmed_at_ < 0)
+    reason_ = "discovery has not confirmed its list";
+  update_phase(now);
 }
 
 void Recovery::record_requests(Micros now, int served, int unserved) {
-  if (now - spans_[0].begun >= kSpan) {
+  if (now - spans_[0].started_at >= kSpan) {
     spans_[1] = spans_[0];
     spans_[0] = {now, 0, 0};
   }
   spans_[0].served += served, spans_[0].unserved += unserved;
-  look(now);
+  update_phase(now);
 }
 
 void Recovery::record_pause(Micros now) {
@@ -85,30 +88,30 @@
   since_ = now;
 }
 
-bool Recovery::serves(Micros now) const {
+bool Recovery::serves_well(Micros now) const {
   int served = 0, all = 0;
   for (const Span& s : spans_) {
-    if (now - s.begun > 2 * kSpan) continue;
+    if (now - s.started_at > 2 * kSpan) continue;
     served += s.served, all += s.served + s.unserved;
   }
-  return all >= kLeastSeen && served >= kServed * all;
+  return all >= kMinRequests && served >= kServedShare * all;
 }
 
-void Recovery::look(Micros now) {
-  if (phase_ != Phase::Returning || told_at_ < 0) return;
-  // Two whole spans of good service, or the time is up.
-  if (now - since_ >= 2 * kSpan && serves(now))
+void Recovery::update_phase(Micros now) {
+  if (phase_ != Phase::Returning || list_confirmed_at_ < 0) return;
+  // Two full spans of good service, or the time is up.
+  if (now - since_ >= 2 * kSpan && serves_well(now))
     enter(now, Phase::Full, "it serves as it should");
-  else if (now - since_ >= kLetsGo)
+  else if (now - since_ >= kMaxReturnTime)
     enter(now, Phase::Full, "long enough after its list came");
 }
 
 Recovery::View Recovery::view(Micros now) {
-  look(now);
+  update_phase(now);
   View v;
-  v.phase = phase_, v.reason = why_, v.since = since_;
-  v.list_age = told_at_ < 0 ? -1 : now - told_at_;
-  v.list_stale = told_at_ < 0 || v.list_age > fresh_for_ || failing_;
+  v.phase = phase_, v.reason = reason_, v.since = since_;
+  v.list_age = list_confirmed_at_ < 0 ? -1 : now - list_confirmed_at_;
+  v.list_stale = list_confirmed_at_ < 0 || v.list_age > fresh_for_ || calls_failing_;
   return v;
 }
 
--- a/src/recovery/tier_restart_detector.cpp
+++ b/src/recovery/tier_restart_detector.cpp
@@ -7,48 +7,49 @@
 namespace robinseam::recovery {
 namespace {
 
-// How often a sample is one of trouble: among many that came back together, where servers have room
-// for some and discovery for a few; and alone in a tier on a bad day, where one server in fifty
-// turns away.
-constexpr double kTogether = 0.25, kAlone = 0.02;
-const double kSpeaksAlone = std::log((1 - kAlone) / (1 - kTogether));  // 0.27
-const double kSpeaksTogether = std::log(kAlone / kTogether);           // -2.5
-// One verdict in twenty may be wrong: twelve good samples without a bad one, or two bad ones.
-const double kSettled = std::log(19.0);
-constexpr std::size_t kSources = 3;
-// What is seen later tells of the day and no more of the return.
-constexpr Micros kLetsGo = 10'000'000;
-// More of the servers young than this: whatever restarted them may have restarted the routers.
-constexpr double kManyYoung = 0.2;
-constexpr int kPresumedAlone = 2;  // as many come back at no cost
+// Probability that a sample is bad: among many routers that restarted together, where servers have
+// capacity for some and discovery for a few; and for a lone router on a bad day, where one server
+// in fifty rejects requests.
+constexpr double kTroubleTogether = 0.25, kTroubleAlone = 0.02;
+const double kLogOddsOfGood = std::log((1 - kTroubleAlone) / (1 - kTroubleTogether));  // 0.27
+const double kLogOddsOfTrouble = std::log(kTroubleAlone / kTroubleTogether);           // -2.5
+// One verdict in twenty may be wrong: it takes twelve good samples without a bad one, or two bad
+// ones.
+const double kVerdictLogOdds = std::log(19.0);
+constexpr std::size_t kMinSources = 3;
+// Later samples tell about the current load and no longer about the restart.
+constexpr Micros kSamplePeriod = 10'000'000;
+// With a larger share of recently started servers, their cause may have restarted the routers too.
+constexpr double kMaxYoungShare = 0.2;
+constexpr int kHarmlessRestarts = 2;  // so many routers may restart together at no cost
 
 }  // namespace
 
-TierRestartDetector::TierRestartDetector(int routers, Micros now) : born_(now) {
-  if (routers <= kPresumedAlone) verdict_ = Verdict::Alone, told_ = true;
+TierRestartDetector::TierRestartDetector(int routers, Micros now) : started_at_(now) {
+  if (routers <= kHarmlessRestarts) verdict_ = Verdict::Alone, verdict_taken_ = true;
 }
 
 void TierRestartDetector::record_sample(Micros now, int source, bool trouble) {
-  if (verdict_ == Verdict::Alone || now - born_ > kLetsGo) return;
-  auto seen = sources_.begin() + source_count_;
-  if (source_count_ < static_cast<int>(kSources) &&
-      std::find(sources_.begin(), seen, source) == seen)
+  if (verdict_ == Verdict::Alone || now - started_at_ > kSamplePeriod) return;
+  auto sources_end = sources_.begin() + source_count_;
+  if (source_count_ < static_cast<int>(kMinSources) &&
+      std::find(sources_.begin(), sources_end, source) == sources_end)
     sources_[static_cast<std::size_t>(source_count_++)] = source;
-  evidence_ =
-      std::clamp(evidence_ + (trouble ? kSpeaksTogether : kSpeaksAlone), -kSettled, kSettled);
-  if (evidence_ <= -kSettled)
+  log_odds_ = std::clamp(log_odds_ + (trouble ? kLogOddsOfTrouble : kLogOddsOfGood),
+                         -kVerdictLogOdds, kVerdictLogOdds);
+  if (log_odds_ <= -kVerdictLogOdds)
     verdict_ = Verdict::Together;
-  else if (evidence_ >= kSettled && source_count_ == static_cast<int>(kSources))
+  else if (log_odds_ >= kVerdictLogOdds && source_count_ == static_cast<int>(kMinSources))
     verdict_ = Verdict::Alone;
 }
 
 void TierRestartDetector::record_list(Micros now, int usable, int young) {
   record_sample(now, kDiscoverySource, false);
-  if (usable > 0) record_sample(now, kListSource, young > kManyYoung * usable);
+  if (usable > 0) record_sample(now, kListSource, young > kMaxYoungShare * usable);
 }
 
 bool TierRestartDetector::take_alone_verdict() {
-  return verdict_ == Verdict::Alone && !std::exchange(told_, true);
+  return verdict_ == Verdict::Alone && !std::exchange(verdict_taken_, true);
 }
 
 }  // namespace robinseam::recovery
--- a/src/recovery/tier_restart_detector.hpp
+++ b/src/recovery/tier_restart_detector.hpp
@@ -1,13 +1,15 @@
-// Whether a router came back alone or with most of its tier, by what its first seconds bring. Pure.
+// Decides whether a router restarted alone or with most of its tier, from the samples of its first
+// seconds. Pure.
 //
-// It begins with the worst: all came back, so it takes its part of what a tier may begin with and
-// no more. Each thing that it sees speaks for one or the other (Wald's sequential test: "Sequential
-// Tests of Statistical Hypotheses", Annals of Mathematical Statistics 16, 1945): an answer, a dial
-// that was refused, a server that is full, a call on discovery that failed, servers born while it
-// was away. No single sample settles it, and none from less than three sources.
+// The router first assumes the worst, that all restarted, and takes only its share of what a tier
+// may start with. Each sample is evidence for one or the other (Wald's sequential test: "Sequential
+// Tests of Statistical Hypotheses", Annals of Mathematical Statistics 16, 1945): an answer, a
+// refused dial, a server that is full, a failed call to discovery, servers that started while it
+// was away. No single sample decides, and no samples from fewer than three sources decide for
+// "alone".
 //
-// A tier that came back together and yet finds room everywhere is taken for one that did not. That
-// is harmless: what is given back are tokens against scarcity, and there is none.
+// A tier that restarted together and yet finds capacity everywhere is taken for a lone router. That
+// is harmless: the released tokens guard against a shortage that does not exist.
 #pragma once
 
 #include <array>
@@ -22,22 +24,22 @@
 
   TierRestartDetector(int routers, Micros now);
 
-  /// Something that tells how much else came back. `source`: a server's number, or one of these.
+  /// A sample. `source`: a server's index, or one of these constants; `trouble`: whether it speaks
+  /// for a restart of many.
   static constexpr int kDiscoverySource = -1, kListSource = -2;
   void record_sample(Micros now, int source, bool trouble);
-  /// The list as discovery told it: so many servers are usable, and so many of them have started
-  /// lately.
+  /// A list from discovery: so many servers are usable, and so many of them started recently.
   void record_list(Micros now, int usable, int young);
 
   Verdict verdict() const { return verdict_; }
-  /// True once, when it is settled that it came back alone.
+  /// True once, after the verdict has become Alone.
   bool take_alone_verdict();
 
  private:
-  Micros born_;
-  double evidence_ = 0;  // log of the odds of alone to together, and bounded
+  Micros started_at_;
+  double log_odds_ = 0;  // of alone to together, bounded
   Verdict verdict_ = Verdict::Unknown;
-  bool told_ = false;
+  bool verdict_taken_ = false;
   std::array<int, 3> sources_{};
   int source_count_ = 0;
 };
