--- a/tests/limits/retry_detector_test.cpp
+++ b/tests/limits/retry_detector_test.cpp
@@ -1,4 +1,4 @@
-// Clients' further tries told from first ones: what is named a repeat, and the bounds.
+// Retries of clients told from first tries: what counts as a retry, and the bounds.
 #include "limits/retry_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -10,28 +10,29 @@
 
 constexpr Micros kMs = 1000, kS = 1'000'000;
 
-TEST(RetryDetector, ATicketIsTakenOnceWithinItsSpan) {
+TEST(RetryDetector, AnUnservedTryIsMatchedOnceWithinItsSpan) {
   RetryDetector r;
-  EXPECT_EQ(r.take_first_try(kS, 7, kS), kS) << "nothing has been left";
+  EXPECT_EQ(r.take_first_try(kS, 7, kS), kS) << "nothing recorded yet";
   r.record_unserved(7, kS);
-  EXPECT_EQ(r.take_first_try(kS + 10 * kMs, 8, kS), kS + 10 * kMs) << "another name";
+  EXPECT_EQ(r.take_first_try(kS + 10 * kMs, 8, kS), kS + 10 * kMs) << "another request hash";
   EXPECT_EQ(r.take_first_try(kS + 20 * kMs, 7, kS), kS);
-  EXPECT_EQ(r.take_first_try(kS + 30 * kMs, 7, kS), kS + 30 * kMs) << "taken before";
+  EXPECT_EQ(r.take_first_try(kS + 30 * kMs, 7, kS), kS + 30 * kMs) << "already taken";
   r.record_unserved(7, kS);
-  EXPECT_EQ(r.take_first_try(2 * kS, 7, kS), 2 * kS) << "its client asks no more";
+  EXPECT_EQ(r.take_first_try(2 * kS, 7, kS), 2 * kS) << "past its client's deadline";
   EXPECT_EQ(r.pending(2 * kS, kS), 0u);
 }
 
-// The stated errors: strangers may swap places with an owner, but no more are named than left.
-TEST(RetryDetector, NeverNamesMoreThanEndedUnserved) {
+// The documented error: another client may take the place of an owner, but never are more requests
+// counted as retries than ended unserved.
+TEST(RetryDetector, NeverCountsMoreRetriesThanUnservedRequests) {
   RetryDetector r;
-  int named = 0;
+  int retries = 0;
   for (int k = 0; k < 3; ++k) r.record_unserved(7, kS + k);
-  for (int k = 0; k < 50; ++k) named += r.take_first_try(kS + 10 * kMs, 7, kS) != kS + 10 * kMs;
-  EXPECT_EQ(named, 3);
+  for (int k = 0; k < 50; ++k) retries += r.take_first_try(kS + 10 * kMs, 7, kS) != kS + 10 * kMs;
+  EXPECT_EQ(retries, 3);
 }
 
-TEST(RetryDetector, AMillionRefusalsHoldNoMoreThanTheTable) {
+TEST(RetryDetector, AMillionRefusalsAreBoundedByTheTable) {
   RetryDetector r;
   for (std::uint64_t k = 0; k < 1'000'000; ++k)
     r.record_unserved(k * 0x9e3779b97f4a7c15ULL, kS + static_cast<Micros>(k));
@@ -39,9 +40,9 @@
   EXPECT_GT(r.pending(2 * kS, 10 * kS), RetryDetector::kSets * RetryDetector::kWays * 9 / 10);
 }
 
-// Through the module: a client that is refused and asks five times earns the tokens of one request.
-// Before, a storm of further tries paid for further attempts.
-TEST(RetryDetector, FurtherTriesEarnNoRetries) {
+// Through the Balancer: a client that is refused and tries five times earns the retry tokens of one
+// request. Guards against a storm of clients' retries that pays for the router's own retries.
+TEST(RetryDetector, ClientRetriesEarnNoRetryTokens) {
   Settings s;
   ClassSettings read;
   read.name = "read";
@@ -54,7 +55,7 @@
   std::vector<Server> list(4);
   for (std::size_t k = 0; k < list.size(); ++k) list[k].id = "s" + std::to_string(k);
   b.on_list(kS, ListScope::Full, list);
-  // Everything is turned away as full, so that each request spends tokens until none are left.
+  // Every attempt is rejected as full, so that each request spends tokens until none are left.
   int sends = 0;
   RequestId id = 0;
   Micros now = kS;
--- a/tests/limits/server_kind_speeds_test.cpp
+++ b/tests/limits/server_kind_speeds_test.cpp
@@ -1,4 +1,4 @@
-// What few answers tell of a kind of server, and which requests go to a quicker one.
+// What a few answers tell about a kind of server, and which requests are sent to a faster kind.
 #include "limits/server_kind_speeds.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using test::kMs;
 
-TEST(ServerKindSpeeds, AGainIsSeenWhereTheAimLiesBetweenTheKinds) {
+TEST(ServerKindSpeeds, AGainIsFoundWhereTheObjectiveLiesBetweenTheKinds) {
   ServerKindSpeeds p;
   for (int k = 0; k < 40; ++k)
     p.record_answer("quick", 30 * kMs, 30 * kMs), p.record_answer("slow", 30 * kMs, 60 * kMs);
@@ -20,9 +20,9 @@
     double least, most;
   };
   for (const Case& c : {Case{"slow", 30 * kMs, 150 * kMs, 0, 0.05},  // in time anywhere
-                        {"slow", 100 * kMs, 150 * kMs, 0.4, 0.9},    // only at the quick kind
+                        {"slow", 100 * kMs, 150 * kMs, 0.4, 0.9},    // only at the fast kind
                         {"slow", 900 * kMs, 150 * kMs, 0, 0.05},     // late anywhere
-                        {"quick", 100 * kMs, 150 * kMs, 0, 0},       // it is the quickest
+                        {"quick", 100 * kMs, 150 * kMs, 0, 0},       // it is the fastest
                         {"unseen", 100 * kMs, 150 * kMs, 0, 0},      // nothing is known
                         {"slow", 0, 150 * kMs, 0, 0},
                         {"slow", 100 * kMs, 0, 0, 0}}) {
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(ServerKindSpeeds, AFewAnswersProveNothingAndOldOnesAreForgotten) {
+TEST(ServerKindSpeeds, FewAnswersAreIgnoredAndOldOnesFade) {
   ServerKindSpeeds p;
   auto gain = [&] { return p.gain_at_fastest_kind("slow", 100 * kMs, 150 * kMs); };
   for (int k = 0; k < 40; ++k) p.record_answer("quick", 30 * kMs, 30 * kMs);
@@ -50,19 +50,19 @@
       p.record_answer("k" + std::to_string(kind), 30 * kMs, (kind + 1) * 30 * kMs);
   EXPECT_GT(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0.5);
   EXPECT_EQ(p.gain_at_fastest_kind("k32", 100 * kMs, 150 * kMs), 0);
-  p.retain_kinds({"k31"});  // the quick ones have left the list, and others find room
+  p.retain_kinds({"k31"});  // the fast kinds have left the list, so others can be added
   EXPECT_EQ(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0);
   for (int k = 0; k < 20; ++k) p.record_answer("k32", 30 * kMs, 30 * kMs);
   EXPECT_GT(p.gain_at_fastest_kind("k31", 100 * kMs, 150 * kMs), 0.5);
 }
 
-// Protects against: three in four of the large requests at machines that serve them late, and a
-// quick kind that is overrun once the whole fleet is busy.
-TEST(ServerKindSpeeds, LargeRequestsGoToTheQuickKindWhileItsCoresAreFree) {
+// Guards against sending three in four large requests to machines that serve them late, and against
+// overloading the fast kind once the whole fleet is busy.
+TEST(ServerKindSpeeds, LargeRequestsGoToTheFastKindWhileItsCoresAreFree) {
   struct Case {
     double utilization;
     Micros work;
-    double least, most;  // part of requests at the quick kind, a third of the fleet
+    double least, most;  // share of requests at the fast kind, a third of the fleet
   };
   for (const Case& c : {Case{0.4, 20 * kMs, 0.25, 0.45},
                         {0.4, 100 * kMs, 0.75, 0.95},
@@ -95,8 +95,8 @@
   }
 }
 
-// Protects against: caches passed over for a quick origin, which no walk can land on.
-TEST(ServerKindSpeeds, TheOriginIsNoKindToCompareWith) {
+// Guards against passing over caches because the origin is fast: no walk can choose the origin.
+TEST(ServerKindSpeeds, TheOriginIsNotComparedWithCaches) {
   Balancer b(test::aside_settings(), 7, 0);
   auto list = test::fleet(10);
   list.push_back(list[0]);
--- a/tests/recovery/keyed_writes_test.cpp
+++ b/tests/recovery/keyed_writes_test.cpp
@@ -1,4 +1,5 @@
-// Rule two over the tries of one write: what is known of them, and what the module does by it.
+// No write takes effect twice over all tries of its client: what is recorded, and how the Balancer
+// uses it.
 #include "recovery/keyed_writes.hpp"
 
 #include <gtest/gtest.h>
@@ -61,20 +62,20 @@
   const char* name;
   Group group;
   Micros ttl;
-  bool first_here;    // the first try was sent on by this router
-  Status first_ends;  // as
-  bool marked;        // the repeat
-  Micros after;       // the first send
+  bool first_here;    // the first try went through this router
+  Status first_ends;  // how it ended
+  bool marked;        // the retry is marked as one
+  Micros after;       // time of the retry since the first send
   End repeat;
 };
 
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
 
-class Repeated : public testing::TestWithParam<Case> {};
+class WriteRetry : public testing::TestWithParam<Case> {};
 
-TEST_P(Repeated, IsSentOnOnlyWhereItDoesNothingTwice) {
+TEST_P(WriteRetry, IsSentOnlyWhereItCannotTakeEffectTwice) {
   const Case& c = GetParam();
-  for (int round = 0; round < 20; ++round) {  // another first server, another walk
+  for (int round = 0; round < 20; ++round) {  // another home server and another walk
     Router router(settings(c.group, c.ttl));
     std::string key = "w" + std::to_string(round), first;
     if (c.first_here) {
@@ -91,12 +92,12 @@
     if (bound && c.group == Group::Cell) {
       EXPECT_EQ(router.server, first);
     }
-    // Other writes are first tries as ever.
+    // Other writes count as first tries.
     EXPECT_EQ(router.ask(kS + c.after, "other", false), End::Sent);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Repeated,
+INSTANTIATE_TEST_SUITE_P(All, WriteRetry,
                          testing::Values(Case{"dropped_everywhere_long_enough", Group::All, 5 * kS,
                                               true, Status::Timeout, false, 500 * kMs, End::Sent},
                                          Case{"lapsed_at_the_servers", Group::All, 400 * kMs, true,
@@ -123,12 +124,12 @@
                                               Status::Ok, false, 300 * kMs, End::Sent}),
                          [](const auto& one) { return std::string(one.param.name); });
 
-TEST(KeyedWrites, AreFreedInTimeAndBounded) {
+TEST(KeyedWrites, EntriesExpireAndAreBounded) {
   recovery::KeyedWrites writes(settings(Group::All, 5 * kS).classes);
   Server to;
   for (std::uint64_t k = 1; k <= 1000; ++k) writes.record_send(static_cast<Micros>(k), k, to);
   EXPECT_EQ(writes.size(), 1000u);
-  writes.record_send(6 * kS + 1000, 2000, to);  // a deadline and a key time later
+  writes.record_send(6 * kS + 1000, 2000, to);  // a deadline and a key_ttl later
   EXPECT_EQ(writes.size(), 1u);
   EXPECT_EQ(writes.evicted(), 0u);
   for (std::uint64_t k = 0; k < 2 * recovery::KeyedWrites::kCapacity; ++k)
--- a/tests/recovery/return_test.cpp
+++ b/tests/recovery/return_test.cpp
@@ -1,5 +1,5 @@
-// Three hundred routers of which some, most or all are killed at once, in virtual time: the rules,
-// the tier's budgets in each tenth of a second, and the time until service is as before.
+// Some, most or all of three hundred routers are killed at once, in virtual time: checks the rules,
+// the tier's calls to discovery in each tenth of a second, and the time until service recovers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,19 +12,19 @@
 namespace {
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::uint64_t kSeeds = 1;  // the same code, an order slower
+constexpr std::uint64_t kSeeds = 1;  // ten times slower
 #else
 constexpr std::uint64_t kSeeds = 20;
 #endif
 constexpr int kRouters = 300;
-constexpr int kKilled = 4;  // s
-// What discovery is presumed to take for a call; an overbooked one takes twice that.
-constexpr Micros kCall = 10 * kMillisecond;
+constexpr int kKilledAtS = 4;
+// Time that discovery is presumed to need for a call; when overloaded it takes twice that.
+constexpr Micros kCallTime = 10 * kMillisecond;
 
-enum class Discovery { Well, Overbooked, Down };
+enum class Discovery { Well, Overloaded, Down };
 
 struct Case {
-  double part;
+  double killed_share;
   Return::List list;
   Discovery discovery;
   bool warm;
@@ -32,23 +32,24 @@
 
 std::string name_of(const Case& c) {
   const char* const lists[] = {"now", "old", "none"};
-  const char* const states[] = {"well", "overbooked", "down"};
-  return std::to_string(static_cast<int>(100 * c.part)) + "_" + lists[static_cast<int>(c.list)] +
-         "_" + states[static_cast<int>(c.discovery)] + (c.warm ? "_warm" : "_cold");
+  const char* const states[] = {"well", "overloaded", "down"};
+  return std::to_string(static_cast<int>(100 * c.killed_share)) + "_" +
+         lists[static_cast<int>(c.list)] + "_" + states[static_cast<int>(c.discovery)] +
+         (c.warm ? "_warm" : "_cold");
 }
 
 std::vector<Case> cases() {
   std::vector<Case> all;
   for (double part : {0.1, 0.7, 1.0})
     for (auto list : {Return::List::Now, Return::List::Old, Return::List::None})
-      for (auto discovery : {Discovery::Well, Discovery::Overbooked, Discovery::Down})
+      for (auto discovery : {Discovery::Well, Discovery::Overloaded, Discovery::Down})
         for (bool warm : {true, false}) all.push_back({part, list, discovery, warm});
   return all;
 }
 
-class MassReturn : public testing::TestWithParam<Case> {};
+class MassRestart : public testing::TestWithParam<Case> {};
 
-TEST_P(MassReturn, KeepsRulesAndBudgetsAndIsBack) {
+TEST_P(MassRestart, KeepsRulesAndBudgetsAndRecovers) {
   const Case& c = GetParam();
   bool down = c.discovery == Discovery::Down;
   DayPlan plan = usual_day(0.3);
@@ -56,29 +57,30 @@
   plan.settings.must_ask = true;
   plan.settings.max_retry_after = kSecond;
   plan.tills.honours_wait = true;
-  plan.discovery.work = c.discovery == Discovery::Overbooked ? 2 * kCall : kCall / 2;
-  if (down) plan.discovery.down_from = kKilled * kSecond, plan.discovery.down_for = 10 * kSecond;
-  plan.returns = {{kKilled * kSecond, c.part, c.list}};
+  plan.discovery.work = c.discovery == Discovery::Overloaded ? 2 * kCallTime : kCallTime / 2;
+  if (down) plan.discovery.down_from = kKilledAtS * kSecond, plan.discovery.down_for = 10 * kSecond;
+  plan.returns = {{kKilledAtS * kSecond, c.killed_share, c.list}};
   if (!c.warm) {
     Trigger cold;
     cold.kind = Trigger::Kind::Misses;
-    cold.from = kKilled * kSecond;
+    cold.from = kKilledAtS * kSecond;
     plan.triggers = {cold};
   }
-  // A list that is there serves at once, an old one over the four servers that are left until
-  // discovery can tell more. Without one discovery's capacity is the floor: all calls take so long,
-  // and what it turned away comes again within a pause of 8 s at most.
+  // With a list the router serves at once; with an old one over the four servers that are left
+  // until discovery answers. Without a list, the time that discovery needs for all calls is the
+  // minimum, and calls that it refused are repeated after a pause of at most 8 s.
   bool none = c.list == Return::List::None;
-  double floor = none ? (down ? 10 : 0) + kRouters * c.part * plan.discovery.work / 1e6 : 0;
-  bool hard = down || c.discovery == Discovery::Overbooked;
-  int within = static_cast<int>(std::ceil(floor + (none && hard ? 8 : 3)));
-  // All caches empty, and nobody keeps anything while the origin is jammed: until the routers, one
-  // fetch a second each, know that it is. On some seeds those that kept what they know of keys go
-  // on asking for what no server holds any more.
+  double least_time =
+      none ? (down ? 10 : 0) + kRouters * c.killed_share * plan.discovery.work / 1e6 : 0;
+  bool hard = down || c.discovery == Discovery::Overloaded;
+  int within = static_cast<int>(std::ceil(least_time + (none && hard ? 8 : 3)));
+  // All caches are empty, and none fills while the origin is overloaded, until the routers, with
+  // one fetch a second each, have detected it. On some seeds the routers that were not restarted go
+  // on requesting keys as cached that no server holds any more.
   if (!c.warm) within += 10;
-  // Until discovery tells more, four servers of ten do what they can: seven eighths, not all.
-  double part = c.list == Return::List::Old && down ? 0.875 : 0.95;
-  plan.lasts = (kKilled + within + 4) * kSecond;
+  // Until discovery answers, only four servers of ten serve: seven eighths of the service, not all.
+  double service_share = c.list == Return::List::Old && down ? 0.875 : 0.95;
+  plan.lasts = (kKilledAtS + within + 4) * kSecond;
   int worst = 0, worst_calls = 0;
   std::uint64_t late = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -88,22 +90,22 @@
     EXPECT_EQ(r.answers_twice, 0);
     EXPECT_EQ(r.doubled_effects, 0);
     EXPECT_EQ(r.to_left, 0);
-    int back = r.back(kKilled, part * r.served(1, kKilled));
+    int back = r.back(kKilledAtS, service_share * r.served(1, kKilledAtS));
     worst = back < 0 ? 99 : std::max(worst, back);
-    for (std::size_t k = kKilled * 10; k + 1 < r.moments.size(); ++k)
+    for (std::size_t k = kKilledAtS * 10; k + 1 < r.moments.size(); ++k)
       worst_calls = std::max(worst_calls, r.moments[k].calls);
     if (back >= 0 && back <= within) continue;
     ++late;
     EXPECT_LE(late, c.warm ? 0 : kSeeds / 5) << back << " of " << within << "\n" << table(r);
   }
-  // N calls over N x 10 ms, and pauses of half of that and more: 20 in a tenth of a second in the
-  // mean, six spreads of a Poisson count beyond.
+  // N calls over N x 10 ms, and pauses of half of that or more: a mean of 20 in a tenth of a
+  // second, plus six standard deviations of a Poisson count.
   EXPECT_LE(worst_calls, 20 + 6 * 4.5);
-  std::printf("%s: back after %d s at worst, %d list calls in 100 ms\n", name_of(c).c_str(), worst,
-              worst_calls);
+  std::printf("%s: recovered after %d s at worst, %d list calls in 100 ms\n", name_of(c).c_str(),
+              worst, worst_calls);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, MassReturn, testing::ValuesIn(cases()),
+INSTANTIATE_TEST_SUITE_P(All, MassRestart, testing::ValuesIn(cases()),
                          [](const auto& one) { return name_of(one.param); });
 
 }  // namespace
--- a/tests/recovery/slow_start_test.cpp
+++ b/tests/recovery/slow_start_test.cpp
@@ -1,5 +1,5 @@
-// What all routers together send to a server that has just started, in virtual time and by the
-// module itself: within any window of TipAfterUs it stays within what the server's budget allows.
+// What all routers together send to a server that has just started, in virtual time with real
+// Balancers: within any window of TipAfterUs it stays within the server's budget.
 #include "limits/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -19,26 +19,26 @@
 constexpr Micros kMs = 1000, kS = 1'000'000;
 constexpr int kServers = 10;
 constexpr double kLoad = 0.66;  // of what the warm servers can do
-constexpr double kRate = 73;    // requests a second of the tier: a cold server's budget is 20
-constexpr Micros kStarts = 20 * kS, kEnd = 32 * kS;
+constexpr double kRate = 73;    // requests a second of the tier; a cold server's budget is 20
+constexpr Micros kServerStart = 20 * kS, kEnd = 32 * kS;
 
-struct Trouble {
-  const char* what;
-  bool burst = false;     // three times the traffic, right as the server has started
-  bool hot = false;       // a new key has a third of it from then on
-  bool failover = false;  // half of the other servers go a second after
-  bool restart = false;   // all routers start anew with it
-  bool uneven = false;    // one router in ten sees five times the mean of the others
-  bool all = false;       // every server starts then
-  Micros after = 0;       // burst and hot key come so long after the start
-  double work = 1;        // of a request for the hot key, in mean ones
+struct Scenario {
+  const char* name;
+  bool burst = false;     // three times the traffic, from the start of the server
+  bool hot = false;       // a new key gets a third of the traffic from then on
+  bool failover = false;  // half of the servers leave a second later
+  bool restart = false;   // all routers restart with the server
+  bool uneven = false;    // one router in ten gets five times the traffic of the others
+  bool all = false;       // every server starts at that time
+  Micros after = 0;       // delay of burst and hot key after the start
+  double work = 1;        // of a request for the hot key, in mean requests
 };
 
-struct Figures {
-  double worst = 0;   // most requests in a window, less what is allowed there, chance included
+struct Result {
+  double worst = 0;   // most requests in a window above the allowance, which includes chance
   double budget = 0;  // of that window
-  double sent = 0;    // in it
-  double served = 0;  // part of all requests, from the start on
+  double sent = 0;    // in that window
+  double served = 0;  // share of all requests from the start on
 };
 
 Settings settings(int routers) {
@@ -53,7 +53,7 @@
   return s;
 }
 
-Figures play(int routers, const Trouble& trouble, unsigned seed) {
+Result play(int routers, const Scenario& scenario, unsigned seed) {
   std::mt19937_64 random(seed);
   auto chance = [&] { return std::uniform_real_distribution<>()(random); };
   Settings set = settings(routers);
@@ -71,7 +71,7 @@
   tier.resize(static_cast<std::size_t>(routers));
   for (std::size_t r = 0; r < tier.size(); ++r) start(r, 0);
   std::vector<double> weight(tier.size(), 1);
-  if (trouble.uneven)
+  if (scenario.uneven)
     for (std::size_t r = 0; r < tier.size(); r += 10) weight[r] = 5;
   std::discrete_distribution<std::size_t> router(weight.begin(), weight.end());
 
@@ -81,9 +81,9 @@
     Outcome outcome;
   };
   std::deque<Answer> answers;                     // each after 10 ms
-  std::deque<std::pair<Micros, double>> at_cold;  // with their work
+  std::deque<std::pair<Micros, double>> at_cold;  // time and work
   double in_window = 0;
-  Figures f;
+  Result result;
   double asked = 0, served = 0;
   bool started = false, failed = false;
   RequestId id = 0;
@@ -93,20 +93,21 @@
   };
   for (double t = 0; t < static_cast<double>(kEnd);) {
     auto now = static_cast<Micros>(t);
-    bool burst =
-        trouble.burst && now >= kStarts + trouble.after && now < kStarts + trouble.after + 2 * kS;
+    bool burst = scenario.burst && now >= kServerStart + scenario.after &&
+                 now < kServerStart + scenario.after + 2 * kS;
     t += -std::log(1 - chance()) / (kRate * (burst ? 3 : 1)) * kS;
-    if (!started && now >= kStarts) {
+    if (!started && now >= kServerStart) {
       started = true;
-      for (int k = 0; k < (trouble.all ? kServers : 1); ++k)
-        list[static_cast<std::size_t>(k)].up_since = kStarts;
-      if (trouble.restart)
+      for (int k = 0; k < (scenario.all ? kServers : 1); ++k)
+        list[static_cast<std::size_t>(k)].up_since = kServerStart;
+      if (scenario.restart)
         for (std::size_t r = 0; r < tier.size(); ++r) start(r, now), answers.clear();
       else
         tell(now, ListScope::Full, list);
-      while (tier[0]->home(hot_key) != list[0].id) hot_key += '+';  // it has to bear it
+      while (tier[0]->home(hot_key) != list[0].id)
+        hot_key += '+';  // so that the cold server is its home
     }
-    if (trouble.failover && !failed && now >= kStarts + kS) {
+    if (scenario.failover && !failed && now >= kServerStart + kS) {
       failed = true;
       std::vector<Server> gone;
       for (std::size_t k = kServers / 2; k < kServers; ++k) {
@@ -122,10 +123,10 @@
     }
     Request r;
     r.id = ++id, r.type = "read", r.tenant = "all", r.remaining = 600 * kMs;
-    bool hot = trouble.hot && now >= kStarts + trouble.after && chance() < 0.33;
+    bool hot = scenario.hot && now >= kServerStart + scenario.after && chance() < 0.33;
     // Zipf-like, with a long tail.
     r.key = hot ? hot_key : "k" + std::to_string(static_cast<int>(std::pow(2000, chance())));
-    double work = hot ? trouble.work : 1;
+    double work = hot ? scenario.work : 1;
     r.work = static_cast<std::int64_t>(10 * kMs * work);
     std::size_t at = router(random);
     bool sent = false;
@@ -136,76 +137,88 @@
       Outcome o;
       o.id = r.id, o.server = send->server, o.finished = true, o.latency = 10 * kMs;
       answers.push_back({now + 10 * kMs, at, o});
-      if (send->server != list[0].id || now < kStarts || now >= kStarts + set.cold_time) continue;
+      if (send->server != list[0].id || now < kServerStart || now >= kServerStart + set.cold_time)
+        continue;
       at_cold.emplace_back(now, work);
       in_window += work;
       for (; at_cold.front().first < now - set.tip_after; at_cold.pop_front())
         in_window -= at_cold.front().second;
-      // What it can do at the window's beginning, when it can least.
-      double age = static_cast<double>(std::max(at_cold.front().first, kStarts) - kStarts);
+      // What the server can do at the window's beginning, when it can do least.
+      double age =
+          static_cast<double>(std::max(at_cold.front().first, kServerStart) - kServerStart);
       double warmth = set.cold_share + (1 - set.cold_share) * age / set.cold_time;
       double n = set.overload_factor * warmth * kRate / kLoad / kServers * set.tip_after / kS;
       double over = in_window - (n + 2 * std::sqrt(n) + 2);
-      if (f.budget == 0 || over > f.worst) f.worst = over, f.budget = n, f.sent = in_window;
+      if (result.budget == 0 || over > result.worst)
+        result.worst = over, result.budget = n, result.sent = in_window;
     }
-    if (now >= kStarts && now < kStarts + set.cold_time) ++asked, served += sent;
+    if (now >= kServerStart && now < kServerStart + set.cold_time) ++asked, served += sent;
   }
-  f.served = served / asked;
-  return f;
+  result.served = served / asked;
+  return result;
 }
 
-const Trouble kTroubles[] = {
-    {.what = "alone"},
-    {.what = "a failover", .failover = true},
-    {.what = "a restart, a hot key, uneven", .hot = true, .restart = true, .uneven = true},
-    {.what = "a burst, a hot key, uneven", .burst = true, .hot = true, .uneven = true},
-    {.what = "a hot key of 4 times the work", .hot = true, .work = 4},
-    {.what = "the same 4 s after, burst", .burst = true, .hot = true, .after = 4 * kS, .work = 4},
-    {.what = "small, 2 s after, burst", .burst = true, .hot = true, .after = 2 * kS, .work = 0.25},
-    {.what = "all are cold", .all = true},
-    {.what = "all are cold, a restart of all", .restart = true, .all = true},
+const Scenario kScenarios[] = {
+    {.name = "one server starts"},
+    {.name = "failover", .failover = true},
+    {.name = "restart of all routers, hot key, uneven traffic",
+     .hot = true,
+     .restart = true,
+     .uneven = true},
+    {.name = "burst, hot key, uneven traffic", .burst = true, .hot = true, .uneven = true},
+    {.name = "hot key of 4 times the work", .hot = true, .work = 4},
+    {.name = "the same 4 s later, burst", .burst = true, .hot = true, .after = 4 * kS, .work = 4},
+    {.name = "small hot key 2 s later, burst",
+     .burst = true,
+     .hot = true,
+     .after = 2 * kS,
+     .work = 0.25},
+    {.name = "all servers cold", .all = true},
+    {.name = "all servers cold, restart of all routers", .restart = true, .all = true},
 };
-// The table of docs/design/endings.md is with 20, and 10 and 350 routers as well.
+// The table of docs/design/endings.md was made with 20 seeds, and with 10 and 350 routers as well.
 constexpr unsigned kSeeds = 4;
 constexpr int kRouters[] = {1, 30, 300};
 
-TEST(SlowStart, WhatAllRoutersSendStaysWithinTheServersBudget) {
-  for (const Trouble& trouble : kTroubles)
+TEST(SlowStart, TrafficOfAllRoutersStaysWithinTheServersBudget) {
+  for (const Scenario& scenario : kScenarios)
     for (int routers : kRouters) {
-      Figures worst;
+      Result worst;
       worst.worst = -1e9, worst.served = 1;
       for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-        Figures f = play(routers, trouble, seed);
-        double served = std::min(worst.served, f.served);
-        if (f.worst > worst.worst) worst = f;
+        Result result = play(routers, scenario, seed);
+        double served = std::min(worst.served, result.served);
+        if (result.worst > worst.worst) worst = result;
         worst.served = served;
       }
-      EXPECT_LE(worst.worst, 0) << trouble.what << ' ' << routers << ": " << worst.sent << " of "
+      EXPECT_LE(worst.worst, 0) << scenario.name << ' ' << routers << ": " << worst.sent << " of "
                                 << worst.budget;
-      // The others bear it; where all are cold it is the ramp that may not starve them for good.
-      EXPECT_GE(worst.served, trouble.all ? 0.1 : 0.99) << trouble.what << ' ' << routers;
+      // The other servers take the load; where all are cold, the ramp must not starve clients for
+      // good.
+      EXPECT_GE(worst.served, scenario.all ? 0.1 : 0.99) << scenario.name << ' ' << routers;
     }
 }
 
-// One token a router is its part of many windows: they must not all have it in hand at once.
-TEST(SlowStart, WhatATierHasInHandAtOnceIsAFewWindowsBudget) {
+// For a router of a large tier one token is its share of many windows: not all routers may have one
+// at the same time.
+TEST(SlowStart, TokensOfATierAreBoundedByAFewWindowsBudget) {
   for (int routers : {30, 300}) {
-    double rate = 10.0 / routers;  // of the tier 10 a second: 15 in a window
-    int in_hand = 0;
+    double rate = 10.0 / routers;  // the tier gets 10 a second: 15 in a window
+    int held_tokens = 0;
     for (int r = 0; r < routers; ++r) {
       limits::SlowStart tokens;
       tokens.reset(0, (r + 0.5) / routers);
-      for (Micros now = kS; now <= 60 * kS; now += kS)  // asked for what nobody has
+      for (Micros now = kS; now <= 60 * kS; now += kS)  // costs more than any router has
         tokens.admits(now, rate, 1500 * kMs, 1000);
-      in_hand += tokens.admits(61 * kS, rate, 1500 * kMs, 1);
+      held_tokens += tokens.admits(61 * kS, rate, 1500 * kMs, 1);
     }
-    EXPECT_LE(in_hand, 3 * 15 + 5 * std::sqrt(45)) << routers;
+    EXPECT_LE(held_tokens, 3 * 15 + 5 * std::sqrt(45)) << routers;
   }
 }
 
 // Over a long time each router gets its rate, whatever its requests cost: a little less where they
-// are so small that a token comes before the last one is used up.
-TEST(SlowStart, TokensAreNeitherLostNorMadeWhileTheyAreWanted) {
+// are so small that a token arrives before the previous one is used up.
+TEST(SlowStart, TokensMatchTheRateWhileTheyAreUsed) {
   for (double cost : {0.25, 1.0, 4.0})
     for (double rate : {0.05, 0.5, 5.0}) {
       limits::SlowStart tokens;
--- a/tests/recovery/start_test.cpp
+++ b/tests/recovery/start_test.cpp
@@ -1,4 +1,5 @@
-// What a router begins with, when it can't know who came back with it.
+// The budgets and the list that a router starts with, when it cannot know how many restarted with
+// it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +24,7 @@
   return s;
 }
 
-TEST(StartBudgets, RetriesOfLoadAreTheTiersAndThoseOfBrokenAttemptsTheRouters) {
+TEST(StartBudgets, LoadRetriesAreBoundedPerTierAndBrokenAttemptsPerRouter) {
   for (int routers : {1, 2, 14, 300}) {
     auto spent = [&](limits::RetryCause cause) {
       limits::Limits fresh(settings(routers), {});
@@ -33,16 +34,17 @@
     };
     EXPECT_LE(spent(limits::RetryCause::Load), 10) << routers;
     EXPECT_GE(spent(limits::RetryCause::Broken), 49 * routers) << routers;
-    limits::Limits told(settings(routers), {});
-    told.confirm_list();
+    limits::Limits confirmed(settings(routers), {});
+    confirmed.confirm_list();
     int broken = 0;
-    while (told.spend_retry(limits::RetryCause::Broken)) ++broken;
+    while (confirmed.spend_retry(limits::RetryCause::Broken)) ++broken;
     EXPECT_LE(broken * routers, 100) << routers;
   }
 }
 
-// One request a second, as each of a large tier's routers gets, and every server has just started.
-TEST(StartBudgets, ARouterWithoutMemoryServesOverColdServersAlone) {
+// About one request a second, as each router of a large tier gets, and every server has just
+// started.
+TEST(StartBudgets, AFreshRouterServesOverColdServers) {
   Settings s = settings(300);
   Balancer b(s, 1, 100 * kS);
   b.start(100 * kS);
@@ -72,11 +74,11 @@
   EXPECT_GE(sent, 10);
 }
 
-// What is likely out of date serves, and discovery is asked within N calls' time.
-TEST(Start, ADoubtedListServesAndIsAskedAboutAtOnce) {
+// A list that is likely out of date is used, and discovery is called within N calls' time.
+TEST(Start, AnUnverifiedListIsUsedAndDiscoveryIsCalledAtOnce) {
   Micros latest[2] = {0, 0};
   for (std::uint64_t seed = 1; seed <= 50; ++seed)
-    for (bool doubted : {false, true}) {
+    for (bool unverified : {false, true}) {
       Settings s = settings(14);
       s.must_ask = true, s.ask_within = 10 * kS;
       Balancer b(s, seed, 100 * kS);
@@ -85,16 +87,16 @@
       one.id = "s";
       Micros after = 0;
       for (const Action& a :
-           b.on_list(100 * kS, doubted ? ListScope::Doubted : ListScope::Cached, {one}))
+           b.on_list(100 * kS, unverified ? ListScope::Doubted : ListScope::Cached, {one}))
         if (const auto* timer = std::get_if<Timer>(&a)) after = timer->after;
-      latest[doubted] = std::max(latest[doubted], after);
+      latest[unverified] = std::max(latest[unverified], after);
       Request r;
       r.id = 1, r.type = "read", r.tenant = "all", r.key = "k", r.remaining = 600 * kMs;
       bool sent = false;
       for (const Action& a : b.on_request(100 * kS, r)) sent |= std::holds_alternative<Send>(a);
       EXPECT_TRUE(sent);
     }
-  EXPECT_EQ(latest[0], 0);  // the call that was drawn at the start stands
+  EXPECT_EQ(latest[0], 0);  // the call scheduled at the start stands
   EXPECT_GT(latest[1], 0);
   EXPECT_LE(latest[1], 14 * 10 * kMs);
 }
--- a/tests/recovery/tier_restart_detector_test.cpp
+++ b/tests/recovery/tier_restart_detector_test.cpp
@@ -1,4 +1,4 @@
-// How a router finds out whether it came back alone: a table of what it sees.
+// How a router detects whether it restarted alone: a table of samples and verdicts.
 #include "recovery/tier_restart_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -8,43 +8,43 @@
 namespace robinseam::recovery {
 namespace {
 
-constexpr Micros kS = 1'000'000, kBorn = 50 * kS;
+constexpr Micros kS = 1'000'000, kStart = 50 * kS;
 using Verdict = TierRestartDetector::Verdict;
 
 struct Case {
   const char* name;
   int routers;
-  const char* seen;  // a digit: an answer of that server, '!' before it: trouble there;
-                     // 'd': discovery has answered; '_': a second passes
+  const char* samples;  // a digit: an answer of that server, '!' before it: trouble there;
+                        // 'd': discovery has answered; '_': a second passes
   Verdict verdict;
 };
 
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
 
-class Companies : public testing::TestWithParam<Case> {};
+class TierRestart : public testing::TestWithParam<Case> {};
 
-TEST_P(Companies, AreToldByWhatIsSeen) {
+TEST_P(TierRestart, VerdictFollowsFromSamples) {
   const Case& c = GetParam();
-  TierRestartDetector company(c.routers, kBorn);
-  Micros now = kBorn;
+  TierRestartDetector detector(c.routers, kStart);
+  Micros now = kStart;
   bool trouble = false;
-  for (char one : std::string(c.seen)) {
+  for (char one : std::string(c.samples)) {
     if (one == '_') now += kS;
     if (one == '!') {
       trouble = true;
       continue;
     }
-    if (one == 'd') company.record_sample(now, TierRestartDetector::kDiscoverySource, trouble);
-    if (one >= '0' && one <= '9') company.record_sample(now, one - '0', trouble);
+    if (one == 'd') detector.record_sample(now, TierRestartDetector::kDiscoverySource, trouble);
+    if (one >= '0' && one <= '9') detector.record_sample(now, one - '0', trouble);
     trouble = false;
   }
-  EXPECT_EQ(company.verdict(), c.verdict);
-  EXPECT_EQ(company.take_alone_verdict(), c.verdict == Verdict::Alone && c.routers > 2);
-  EXPECT_FALSE(company.take_alone_verdict());
+  EXPECT_EQ(detector.verdict(), c.verdict);
+  EXPECT_EQ(detector.take_alone_verdict(), c.verdict == Verdict::Alone && c.routers > 2);
+  EXPECT_FALSE(detector.take_alone_verdict());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, Companies,
+    All, TierRestart,
     testing::Values(Case{"two_routers_presume_nothing", 2, "", Verdict::Alone},
                     Case{"nothing_seen", 300, "", Verdict::Unknown},
                     Case{"one_sample_settles_nothing", 300, "1", Verdict::Unknown},
@@ -57,19 +57,21 @@
                     Case{"one_refused_among_many", 300, "12345!6123451234512345123451234512345",
                          Verdict::Alone},
                     Case{"two_in_five_refused", 300, "12!13!2", Verdict::Together},
-                    Case{"trouble_that_ends_is_outlived", 300,
+                    Case{"good_samples_outweigh_earlier_trouble", 300,
                          "!1!2!3123451234512345123451234512345", Verdict::Alone},
-                    Case{"too_late_to_tell", 300, "12345___________1234512345", Verdict::Unknown}),
+                    Case{"late_samples_are_ignored", 300, "12345___________1234512345",
+                         Verdict::Unknown}),
     [](const auto& one) { return std::string(one.param.name); });
 
-TEST(TierRestartDetector, AListOfYoungServersSpeaksForAReturnOfAll) {
-  TierRestartDetector company(300, kBorn);
-  company.record_list(kBorn, 10, 6);
-  EXPECT_EQ(company.verdict(), Verdict::Unknown);
-  company.record_list(kBorn, 10, 6);
-  EXPECT_EQ(company.verdict(), Verdict::Together);
-  TierRestartDetector other(300, kBorn);
-  for (int k = 0; k < 6; ++k) other.record_list(kBorn, 10, 1), other.record_sample(kBorn, 3, false);
+TEST(TierRestartDetector, RecentlyStartedServersIndicateARestartOfAll) {
+  TierRestartDetector detector(300, kStart);
+  detector.record_list(kStart, 10, 6);
+  EXPECT_EQ(detector.verdict(), Verdict::Unknown);
+  detector.record_list(kStart, 10, 6);
+  EXPECT_EQ(detector.verdict(), Verdict::Together);
+  TierRestartDetector other(300, kStart);
+  for (int k = 0; k < 6; ++k)
+    other.record_list(kStart, 10, 1), other.record_sample(kStart, 3, false);
   EXPECT_EQ(other.verdict(), Verdict::Alone);
 }
 
