--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -366,7 +366,7 @@
   r->recovery_.record_pause(now);
   robinseam::recovery::DiscoveryBackoff asking(r->config_.settings.routers,
                                                r->config_.settings.ask_within);
-  r->discovery_.look_again(asking.first(1));
+  r->discovery_.look_again(asking.first_delay(1));
   std::fprintf(stderr, "arrowfork: the process was paused; polling discovery again\n");
 }
 
