--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "recovery/asking.hpp"
+#include "recovery/discovery_backoff.hpp"
 
 namespace arrowfork {
 namespace {
@@ -68,10 +68,10 @@
 ServerSide::Limits server_limits(const Config& c) {
   ServerSide::Limits l;
   l.max_connections = server_sockets(c);
-  l.max_connections_per_server =
-      std::clamp<std::size_t>(static_cast<std::size_t>(robinseam::limits::kServerHolds) /
-                                  static_cast<std::size_t>(c.settings.routers),
-                              1, kMaxConnectionsPerServer);
+  l.max_connections_per_server = std::clamp<std::size_t>(
+      static_cast<std::size_t>(robinseam::limits::kPresumedServerConnections) /
+          static_cast<std::size_t>(c.settings.routers),
+      1, kMaxConnectionsPerServer);
   l.routers = c.settings.routers;
   for (const robinseam::TenantSettings& t : c.settings.tenants) l.tier_rate += t.quota_per_s;
   l.attempts_per_connection = c.connection_settings.attempts_per_connection;
@@ -159,7 +159,7 @@
   HostList known = operator_overrides_.apply_list(config_.initial_list);
   servers_.apply_list(known);
   core_.start(servers_of(known), config_.initial_list_unverified);
-  recovery_.handed(clock_.now(), has_ready_server());
+  recovery_.record_initial_list(clock_.now(), has_ready_server());
   log_settings();
   heartbeat_event_.reset(event_new(base, -1, EV_PERSIST, on_heartbeat, this));
   timeval heartbeat = timeval_of(kHeartbeatInterval);
@@ -287,7 +287,7 @@
 
 void Router::on_hosts(HostList&& discovered) {
   apply(std::move(discovered));
-  recovery_.told(clock_.now(), has_ready_server());
+  recovery_.record_list(clock_.now(), has_ready_server());
   if (list_persistence_)
     list_persistence_->on_list_confirmed(operator_overrides_.discovered_list());
   take_over_if_ready();
@@ -331,8 +331,9 @@
   for (const Core::Counts::Replies& e : core_.counts().replies_by_class)
     served += e.served, unserved += e.refused + e.failed;
   if (served + unserved != last_served_ + last_unserved_)
-    recovery_.ended(clock_.now(), static_cast<int>(served - std::exchange(last_served_, served)),
-                    static_cast<int>(unserved - std::exchange(last_unserved_, unserved)));
+    recovery_.record_requests(clock_.now(),
+                              static_cast<int>(served - std::exchange(last_served_, served)),
+                              static_cast<int>(unserved - std::exchange(last_unserved_, unserved)));
   auto phase = recovery_.view(clock_.now()).phase;
   if (phase == std::exchange(logged_phase_, phase)) return;
   std::fprintf(stderr, "arrowfork: recovery: %s", recovery_line().c_str());
@@ -344,7 +345,7 @@
   std::snprintf(
       text, sizeof text, "%s since %.1f s: %s; list %s, %s%s\n",
       robinseam::recovery::name_of(v.phase), static_cast<double>(clock_.now() - v.since) / kSecond,
-      v.why, discovery_.version().empty() ? "none" : discovery_.version().c_str(),
+      v.reason, discovery_.version().empty() ? "none" : discovery_.version().c_str(),
       v.list_age < 0 ? "not confirmed yet"
                      : ("told " + std::to_string(v.list_age / kSecond) + " s ago").c_str(),
       list_is_old(v) ? ", may be old" : "");
@@ -353,7 +354,7 @@
 
 /// An overdue notification makes the list old whatever its age: missed changes must be acted on.
 bool Router::list_is_old(const robinseam::recovery::Recovery::View& view) const {
-  return view.old || discovery_.overdue();
+  return view.list_stale || discovery_.overdue();
 }
 
 void Router::on_heartbeat(evutil_socket_t, short, void* self) {
@@ -364,9 +365,10 @@
   if (now - std::exchange(r->last_heartbeat_at_, now) < kHeartbeatInterval + kMinPause) return;
   // The list dates from before the pause, so discovery is polled for changes. The cause may have
   // paused the whole tier: the poll is spread over the time that the calls of a tier need.
-  r->recovery_.stood_still(now);
-  robinseam::recovery::Asking asking(r->config_.settings.routers, r->config_.settings.ask_within);
-  r->discovery_.poll_within(asking.first(1));
+  r->recovery_.record_pause(now);
+  robinseam::recovery::DiscoveryBackoff asking(r->config_.settings.routers,
+                                               r->config_.settings.ask_within);
+  r->discovery_.poll_within(asking.first_delay(1));
   std::fprintf(stderr, "arrowfork: the process was paused; polling discovery again\n");
 }
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -268,7 +268,7 @@
   PendingAttempt done = std::move(pending_.front());
   pending_.pop_front();
   --written_count_;
-  pool_.budget.answered();
+  pool_.budget.record_answer();
   if (begins_value) open_pipe(answer);
   if (done.awaited)
     side_.handler_.on_attempt_end(done.id, done.attempt, answer.status, std::move(answer.result));
