--- a/src/app/wheeldeal.cpp
+++ b/src/app/wheeldeal.cpp
@@ -107,7 +107,7 @@
   account_command->add_option("--servers-csv", account.servers_csv,
                               "CSV file to write the attempts per server to");
   account_command->add_option("--html", account.html, "HTML file to write plots to");
-  account_command->add_option("--rows", account.rows, "most rows to print in the table")
+  account_command->add_option("--rows", account.rows, "maximum number of table rows to print")
       ->check(CLI::Range(1, 100'000))
       ->capture_default_str();
   account_command->callback([&] { status = wheeldeal::account::run(account); });
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -86,7 +86,7 @@
   else if (health == "left")
     h.server.health = robinseam::Health::Gone;
   else
-    throw ConfigError("hosts: health '" + health + "'");
+    throw ConfigError("hosts: unknown health '" + health + "'");
   h.server.weight = std::clamp(number("share", 1), 0.0, kMaxWeight);
   // born_ms is Unix time, and so is the origin of the router's clock.
   h.server.up_since =
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -93,7 +93,7 @@
       list_json(5, true,
                 {host_json("s-1", "127.0.0.1:1", "asleep"), host_json("s-2", ""),
                  host_json("s-3", "", "leaving"), host_json("s-4", "127.0.0.1:4")}));
-  EXPECT_EQ(list.entry_error, "hosts: health 'asleep'");
+  EXPECT_EQ(list.entry_error, "hosts: unknown health 'asleep'");
   ASSERT_EQ(list.hosts.size(), 2u);
   EXPECT_EQ(list.hosts[0].server.id, "s-3");
   EXPECT_EQ(list.hosts[0].server.health, robinseam::Health::Draining);
--- a/tests/membership/list_subscription_test.cpp
+++ b/tests/membership/list_subscription_test.cpp
@@ -122,11 +122,11 @@
 TEST(ListSubscription, AnInvalidEntryDoesNotHideADrainAndIsOmittedTheSecondTime) {
   Fixture f;
   HostList change = list("11", false, {host("a", Health::Draining)});
-  change.entry_error = "hosts: health 'asleep'";
+  change.entry_error = "hosts: unknown health 'asleep'";
   f.answer(f.last(), change);
   EXPECT_FALSE(f.ready("a"));
   EXPECT_EQ(f.accepted, 0);
-  EXPECT_EQ(f.rejected, std::vector<std::string>{"hosts: health 'asleep'"});
+  EXPECT_EQ(f.rejected, std::vector<std::string>{"hosts: unknown health 'asleep'"});
   HostList full = list("11", true, {host("a", Health::Draining), host("c")});
   full.entry_error = change.entry_error;
   ASSERT_TRUE(f.advance(300 * kMilli));
