--- a/src/membership/call_schedule.cpp
+++ b/src/membership/call_schedule.cpp
@@ -79,7 +79,8 @@
 // one that is answered fit into kNotifiedAfter. Where one call of every router takes discovery
 // longer than that, no pause can help (the calculation is in docs/design/membership.md).
 constexpr Micros kMaxPause = (kNotifiedAfter - kAnswerTime) / 2;
-constexpr double kCallTime = 10 * kMilli;  // of one call at discovery; see recovery/asking
+constexpr double kCallTime =
+    10 * kMilli;  // of one call at discovery; see recovery/discovery_backoff
 // A watch that ends early without a change is not repeated at once, so that a discovery that always
 // answers at once is not called without pause. Below kSameWatchGap, so that it is the same
 // watch.
--- a/src/net/server_pool.hpp
+++ b/src/net/server_pool.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "../io/io.hpp"
-#include "../limits/connections.hpp"
+#include "../limits/connection_close_budget.hpp"
 #include "server_codec.hpp"
 
 namespace arrowfork {
@@ -36,7 +36,7 @@
   Micros idle_limit = 0;        // connections idle for longer are closed
   Micros idle_reset_at = 0;
   std::uint64_t abandoned_attempts = 0;  // since the last log line
-  robinseam::limits::ConnectionBudget budget{0};
+  robinseam::limits::ConnectionCloseBudget budget{0};
   std::vector<std::unique_ptr<ServerConnection>> connections;
 
   /// Records that a command written after an idle time of `span` was answered with a reset.
