--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -11,8 +11,8 @@
 
 #include "../core/core.hpp"
 #include "../io/io.hpp"
-#include "../limits/connections.hpp"
-#include "../limits/idle.hpp"
+#include "../limits/connection_close_budget.hpp"
+#include "../limits/idle_timeout.hpp"
 #include "config.hpp"
 #include "server_codec.hpp"
 
@@ -98,7 +98,7 @@
   std::size_t idle_connections() const;
   /// The idle timeout in use as a share of the one the settings allow, 0 to 1; rejected dials lower
   /// it.
-  double idle_timeout_share() const { return idle_timeout_.part(clock_.now()); }
+  double idle_timeout_share() const { return idle_timeout_.share(clock_.now()); }
   /// The address of a server that takes new attempts; empty for any other.
   std::string address_of(const std::string& server) const;
   /// The server with the most abandoned attempts since the last call, and their number.
@@ -123,7 +123,7 @@
   /// and by the resets seen from the server.
   Micros idle_limit(const ServerPool& pool, Micros now) const;
   ServerConnection* pick(ServerPool& pool);
-  robinseam::limits::ConnectionBudget make_close_budget() const;
+  robinseam::limits::ConnectionCloseBudget make_close_budget() const;
   bool try_spend_close(ServerConnection& connection);
   /// Whether the pool may have one more connection; closes an idle or abandoned one if necessary.
   bool free_connection_slot(ServerPool& pool);
@@ -148,7 +148,7 @@
   EventPtr sweep_event_;
   std::unordered_map<std::string, std::unique_ptr<ServerPool>> pools_;
   std::size_t connection_count_ = 0;
-  robinseam::limits::IdleTime idle_timeout_;
+  robinseam::limits::IdleTimeout idle_timeout_;
   double total_weight_ = 0;     // of the usable servers
   std::uint32_t opaque_ = 0;    // of the last attempt
   std::size_t open_pipes_ = 0;  // large values in flight
