--- a/src/rig/model_cache.cpp
+++ b/src/rig/model_cache.cpp
@@ -121,7 +121,7 @@
     r.write = c.set;
     r.key = c.key;
     r.work = c.work;
-    if (c.set && server_->effects_.record_write(server_->clock_.now(), c.idempotency)) {
+    if (c.set && server_->effects_.record_write(server_->clock_.now(), c.idempotency_key)) {
       // A repeat of what has run: its receipt, at no cost.
       owe("HD O" + c.id + " c" + kReceipt, {});
       return;
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -63,7 +63,7 @@
     id_ = hex16(id);
     until_ = tills_.clock_.now() + timeout;
     const Request& r = job_->request;
-    std::string tail = " O" + id_ + " Pc=" + r.type + ",t=" + r.tenant +
+    std::string tail = " O" + id_ + " Pc=" + r.class_name + ",t=" + r.tenant +
                        ",d=" + std::to_string(std::max<Micros>(1, timeout / kMillisecond));
     if (r.work) tail += ",h=" + std::to_string(*r.work);
     if (tills_.routing_.marks_retries && (job_->tries > 1 || job_->unsure)) tail += ",r=1";
