--- a/src/tier/checker.cpp
+++ b/src/tier/checker.cpp
@@ -14,8 +14,8 @@
 
 using EventKind = Event::Kind;
 
-constexpr Micros kBaseline = 10 * kSecond;          // what service is held against
-constexpr Micros kFullServiceWindow = 2 * kSecond;  // service is full again over so long
+constexpr Micros kBaseline = 10 * kSecond;          // service before the fault, as the reference
+constexpr Micros kFullServiceWindow = 2 * kSecond;  // interval over which full service is checked
 constexpr Micros kSearchStep = 100 * kMillisecond;
 constexpr double kMinServedRatio = 0.98, kMaxExtraLate = 0.05;
 
@@ -36,36 +36,38 @@
 Checker::Checker(const Scenario& scenario, const RuleParameters& parameters,
                  const std::vector<Event>& events)
     : scenario_(scenario), parameters_(parameters), events_(events) {
-  std::unordered_map<std::uint64_t, std::size_t> by_number;
+  std::unordered_map<std::uint64_t, std::size_t> index_by_id;
   for (const Event& e : events) {
     if (e.kind == EventKind::TryStarted) {
-      auto number = static_cast<std::uint64_t>(e.value);
-      auto [at, fresh] = by_number.emplace(number, requests_.size());
+      auto id = static_cast<std::uint64_t>(e.value);
+      auto [at, fresh] = index_by_id.emplace(id, requests_.size());
       if (!fresh) continue;
-      ClientRequest job{e.at, -1, e.router};
-      job.write = e.flag;
-      requests_.push_back(job);
+      ClientRequest request{e.at, -1, e.router};
+      request.write = e.flag;
+      requests_.push_back(request);
     } else if (e.kind == EventKind::RequestDone) {
-      auto at = by_number.find(e.id);
-      if (at == by_number.end()) continue;
-      requests_[at->second].ended = e.at, requests_[at->second].served = e.flag;
+      auto at = index_by_id.find(e.id);
+      if (at == index_by_id.end()) continue;
+      requests_[at->second].ended_at = e.at, requests_[at->second].served = e.flag;
     }
   }
 }
 
-bool Checker::is_in_time(const ClientRequest& job) const {
-  return job.served && job.ended - job.asked <=
-                           (job.write ? parameters_.write_objective : parameters_.read_objective);
+bool Checker::is_in_time(const ClientRequest& request) const {
+  return request.served &&
+         request.ended_at - request.started_at <=
+             (request.write ? parameters_.write_objective : parameters_.read_objective);
 }
 
 Checker::RequestCounts Checker::count_requests(Micros from, Micros to,
                                                const std::vector<int>& routers) const {
   RequestCounts p;
-  auto at = std::lower_bound(requests_.begin(), requests_.end(), from,
-                             [](const ClientRequest& job, Micros t) { return job.asked < t; });
-  for (; at != requests_.end() && at->asked < to; ++at) {
+  auto at = std::lower_bound(
+      requests_.begin(), requests_.end(), from,
+      [](const ClientRequest& request, Micros t) { return request.started_at < t; });
+  for (; at != requests_.end() && at->started_at < to; ++at) {
     if (!is_selected(routers, at->router)) continue;
-    ++p.asked;
+    ++p.total;
     p.served += at->served;
     p.late += at->served && !is_in_time(*at);
   }
@@ -74,14 +76,14 @@
 
 Micros Checker::time_to_full_service(Micros mark) const {
   RequestCounts before = count_requests(std::max<Micros>(0, mark - kBaseline), mark);
-  if (before.asked == 0) return -1;
-  double served = static_cast<double>(before.served) / before.asked;
-  double late = static_cast<double>(before.late) / before.asked;
+  if (before.total == 0) return -1;
+  double served = static_cast<double>(before.served) / before.total;
+  double late = static_cast<double>(before.late) / before.total;
   for (Micros at = mark; at + kFullServiceWindow <= scenario_.duration; at += kSearchStep) {
     RequestCounts now = count_requests(at, at + kFullServiceWindow);
-    if (now.asked == 0) continue;
-    if (static_cast<double>(now.served) / now.asked >= kMinServedRatio * served &&
-        static_cast<double>(now.late) / now.asked <= late + kMaxExtraLate)
+    if (now.total == 0) continue;
+    if (static_cast<double>(now.served) / now.total >= kMinServedRatio * served &&
+        static_cast<double>(now.late) / now.total <= late + kMaxExtraLate)
       return at - mark;
   }
   return -1;
@@ -91,7 +93,7 @@
                                                    const std::vector<int>& routers) const {
   std::map<int, Micros> killed;
   std::unordered_map<std::uint64_t, int> by_try;
-  std::vector<Micros> spans;
+  std::vector<Micros> intervals;
   for (const Event& e : events_) {
     if (e.kind == EventKind::ProcessKilled && e.at >= from && e.at < to &&
         is_selected(routers, e.router))
@@ -101,21 +103,22 @@
     auto at = by_try.find(e.id);
     auto since = at == by_try.end() ? killed.end() : killed.find(at->second);
     if (since == killed.end()) continue;
-    spans.push_back(e.at - since->second);
+    intervals.push_back(e.at - since->second);
     killed.erase(since);
   }
-  for (const auto& [router, at] : killed) spans.push_back(scenario_.duration - at);
-  std::sort(spans.begin(), spans.end());
-  return spans;
+  for (const auto& [router, at] : killed) intervals.push_back(scenario_.duration - at);
+  std::sort(intervals.begin(), intervals.end());
+  return intervals;
 }
 
-/// The most events of a kind in any window; `by_cache`: at any one of the caches.
-int Checker::peak_count(EventKind kind, const Claim& hold, bool by_cache) const {
+/// The highest number of events of a kind in any window; `by_cache`: at any single cache.
+int Checker::peak_count(EventKind kind, const Claim& claim, bool by_cache) const {
   std::map<int, std::deque<std::pair<Micros, int>>> windows;
   std::map<int, int> sums;
   int most = 0;
   for (const Event& e : events_) {
-    if (e.kind != kind || e.at < hold.from || e.at >= hold.to || !is_selected(hold.caches, e.cache))
+    if (e.kind != kind || e.at < claim.from || e.at >= claim.to ||
+        !is_selected(claim.caches, e.cache))
       continue;
     int key = by_cache ? e.cache : 0;
     int count = kind == EventKind::OriginFetches ? static_cast<int>(e.value) : 1;
@@ -123,7 +126,7 @@
     window.emplace_back(e.at, count);
     int& sum = sums[key];
     sum += count;
-    while (e.at - window.front().first >= hold.window) {
+    while (e.at - window.front().first >= claim.window) {
       sum -= window.front().second;
       window.pop_front();
     }
@@ -132,45 +135,46 @@
   return most;
 }
 
-double Checker::measure(const Claim& h) const {
-  auto of = [&](int some, int all) { return all ? static_cast<double>(some) / all : 0; };
+double Checker::measure(const Claim& claim) const {
+  auto share = [&](int some, int all) { return all ? static_cast<double>(some) / all : 0; };
   auto count = [&](EventKind kind, bool by_cache) {
     return std::count_if(events_.begin(), events_.end(), [&](const Event& e) {
-      return e.kind == kind && e.at >= h.from && e.at < h.to &&
-             (!by_cache || is_selected(h.caches, e.cache));
+      return e.kind == kind && e.at >= claim.from && e.at < claim.to &&
+             (!by_cache || is_selected(claim.caches, e.cache));
     });
   };
-  switch (h.metric) {
+  switch (claim.metric) {
     case Claim::Metric::ServedShare: {
-      RequestCounts p = count_requests(h.from, h.to, h.routers);
-      return of(p.served, p.asked);
+      RequestCounts p = count_requests(claim.from, claim.to, claim.routers);
+      return share(p.served, p.total);
     }
     case Claim::Metric::InTimeShare: {
-      RequestCounts p = count_requests(h.from, h.to);
-      return of(p.served - p.late, p.asked);
+      RequestCounts p = count_requests(claim.from, claim.to);
+      return share(p.served - p.late, p.total);
     }
     case Claim::Metric::UnservedCount: {
-      RequestCounts p = count_requests(h.from, h.to);
-      return p.asked - p.served;
+      RequestCounts p = count_requests(claim.from, claim.to);
+      return p.total - p.served;
     }
     case Claim::Metric::FullServiceTime: {
-      Micros span = time_to_full_service(h.from);
+      Micros span = time_to_full_service(claim.from);
       return static_cast<double>(span < 0 ? scenario_.duration : span);
     }
     case Claim::Metric::FirstServedTime: {
-      std::vector<Micros> all = times_to_first_served(h.from, h.to, h.routers);
+      std::vector<Micros> all = times_to_first_served(claim.from, claim.to, claim.routers);
       if (all.empty()) return static_cast<double>(scenario_.duration);
-      auto at = static_cast<std::size_t>(std::ceil(h.quantile * static_cast<double>(all.size())));
+      auto at =
+          static_cast<std::size_t>(std::ceil(claim.quantile * static_cast<double>(all.size())));
       return static_cast<double>(all[std::min(all.size(), std::max<std::size_t>(at, 1)) - 1]);
     }
     case Claim::Metric::PeakListCalls:
-      return peak_count(EventKind::DiscoveryCall, h, false);
+      return peak_count(EventKind::DiscoveryCall, claim, false);
     case Claim::Metric::PeakDials:
-      return peak_count(EventKind::ConnectionOpened, h, true);
+      return peak_count(EventKind::ConnectionOpened, claim, true);
     case Claim::Metric::PeakAttempts:
-      return peak_count(EventKind::AttemptReceived, h, true);
+      return peak_count(EventKind::AttemptReceived, claim, true);
     case Claim::Metric::PeakFetches:
-      return peak_count(EventKind::OriginFetches, h, false);
+      return peak_count(EventKind::OriginFetches, claim, false);
     case Claim::Metric::TotalAttempts:
       return static_cast<double>(count(EventKind::AttemptReceived, true));
     case Claim::Metric::TotalListCalls:
@@ -183,76 +187,77 @@
 
 std::vector<Verdict> Checker::claims() const {
   std::vector<Verdict> all;
-  for (const Claim& h : scenario_.claims) {
-    double value = measure(h), unit = h.is_duration ? kSecond : 1;
+  for (const Claim& claim : scenario_.claims) {
+    double value = measure(claim), unit = claim.is_duration ? kSecond : 1;
     Verdict v;
     v.value = value / unit;
-    v.held = (!h.has_min || value >= h.min) && (!h.has_max || value <= h.max);
-    v.text = h.label + " from " + format_number(seconds(h.from)) + " s";
-    if (h.to < scenario_.duration) v.text += " to " + format_number(seconds(h.to)) + " s";
-    v.text += ": " + format_number(v.value) + (h.is_duration ? " s" : "");
-    if (h.has_min) v.text += ", at least " + format_number(h.min / unit);
-    if (h.has_max) v.text += ", at most " + format_number(h.max / unit);
+    v.held = (!claim.has_min || value >= claim.min) && (!claim.has_max || value <= claim.max);
+    v.text = claim.label + " from " + format_number(seconds(claim.from)) + " s";
+    if (claim.to < scenario_.duration) v.text += " to " + format_number(seconds(claim.to)) + " s";
+    v.text += ": " + format_number(v.value) + (claim.is_duration ? " s" : "");
+    if (claim.has_min) v.text += ", at least " + format_number(claim.min / unit);
+    if (claim.has_max) v.text += ", at most " + format_number(claim.max / unit);
     all.push_back(std::move(v));
   }
   return all;
 }
 
-/// Rule 1. What a router took and did not answer is its own loss where that process was killed, or
-/// stood still, while the try was out.
+/// Rule 1. A try without an answer is excused if its router was killed or stopped while the try was
+/// open.
 Verdict Checker::check_answers() const {
-  struct Out {
-    Micros asked, until;
+  struct OpenTry {
+    Micros started_at, deadline;
     int router;
   };
-  std::unordered_map<std::uint64_t, Out> out;
-  std::map<int, std::vector<std::pair<Micros, Micros>>> hurt;  // by router: spans
+  std::unordered_map<std::uint64_t, OpenTry> open_tries;
+  std::map<int, std::vector<std::pair<Micros, Micros>>> unavailable;  // by router: spans
   for (const Event& e : events_) {
-    if (e.kind == EventKind::ProcessKilled) hurt[e.router].emplace_back(e.at, e.at);
-    if (e.kind == EventKind::ProcessStopped) hurt[e.router].emplace_back(e.at, scenario_.duration);
-    if (e.kind == EventKind::ProcessContinued && !hurt[e.router].empty())
-      hurt[e.router].back().second = e.at;
+    if (e.kind == EventKind::ProcessKilled) unavailable[e.router].emplace_back(e.at, e.at);
+    if (e.kind == EventKind::ProcessStopped)
+      unavailable[e.router].emplace_back(e.at, scenario_.duration);
+    if (e.kind == EventKind::ProcessContinued && !unavailable[e.router].empty())
+      unavailable[e.router].back().second = e.at;
   }
-  // A link between tills and a router that is at fault keeps answers from either.
+  // A faulty link between tills and a router also excuses lost tries.
   for (const Action& a : scenario_.actions)
     if (a.kind == Action::Kind::Link && a.path == Action::LinkPath::TillsToRouters)
       for (int r : a.routers)
-        hurt[r].emplace_back(a.at, a.duration > 0 ? a.at + a.duration : scenario_.duration);
-  int tries = 0, lost = 0, with_router = 0, wrong = 0, open = 0;
-  std::string first;
+        unavailable[r].emplace_back(a.at, a.duration > 0 ? a.at + a.duration : scenario_.duration);
+  int tries = 0, lost = 0, lost_with_router = 0, wrong = 0, open = 0;
+  std::string first_violation;
   for (const Event& e : events_) {
     if (e.kind == EventKind::TryStarted) {
       ++tries;
-      out[e.id] = {e.at, e.at + e.extra, e.router};
+      open_tries[e.id] = {e.at, e.at + e.extra, e.router};
       continue;
     }
     if (e.kind < EventKind::Served || e.kind > EventKind::Wrong) continue;
-    auto at = out.find(e.id);
-    if (at == out.end()) continue;
+    auto at = open_tries.find(e.id);
+    if (at == open_tries.end()) continue;
     if (e.kind == EventKind::Wrong) ++wrong;
     if (e.kind == EventKind::Lost) {
-      const auto& spans = hurt[at->second.router];
-      bool excused = std::any_of(spans.begin(), spans.end(), [&](const auto& s) {
-        return s.first <= e.at && s.second + scenario_.slack >= at->second.asked;
+      const auto& intervals = unavailable[at->second.router];
+      bool excused = std::any_of(intervals.begin(), intervals.end(), [&](const auto& s) {
+        return s.first <= e.at && s.second + scenario_.slack >= at->second.started_at;
       });
-      excused ? ++with_router : ++lost;
-      if (!excused && first.empty())
-        first = "; the first at router " + std::to_string(at->second.router) + ", asked " +
-                format_number(seconds(at->second.asked)) + " s, lost " +
-                format_number(seconds(e.at)) + " s";
+      excused ? ++lost_with_router : ++lost;
+      if (!excused && first_violation.empty())
+        first_violation = "; the first at router " + std::to_string(at->second.router) +
+                          ", asked " + format_number(seconds(at->second.started_at)) + " s, lost " +
+                          format_number(seconds(e.at)) + " s";
     }
-    out.erase(at);
+    open_tries.erase(at);
   }
-  open = static_cast<int>(out.size());
+  open = static_cast<int>(open_tries.size());
   return {lost + wrong + open == 0,
           "1  one final answer for each of " + std::to_string(tries) +
               " tries: " + std::to_string(lost) + " lost, " + std::to_string(wrong) + " wrong, " +
-              std::to_string(open) + " open at the end; " + std::to_string(with_router) +
-              " lost with their router" + first,
+              std::to_string(open) + " open at the end; " + std::to_string(lost_with_router) +
+              " lost with their router" + first_violation,
           static_cast<double>(lost + wrong + open)};
 }
 
-/// Rule 3, each router by a judge of its own.
+/// Rule 3. Each router has a judge of its own.
 Verdict Checker::check_drains() const {
   using judge::DrainRecord;
   judge::DrainJudgeOptions rules;
@@ -263,75 +268,80 @@
   rules.first_call = 0;
   std::vector<judge::DrainJudge> judges(static_cast<std::size_t>(scenario_.router_count),
                                         judge::DrainJudge(rules));
-  std::vector<bool> reaches(judges.size(), true);
-  bool up = true;
-  std::unordered_map<std::uint64_t, int> router_of;  // by try
+  std::vector<bool> reachable_from(judges.size(), true);
+  bool discovery_up = true;
+  std::unordered_map<std::uint64_t, int> router_by_try;  // by try id
   int broken = 0;
-  std::string first;
-  auto of = [&](int router) -> judge::DrainJudge& {
+  std::string first_violation;
+  auto judge_of = [&](int router) -> judge::DrainJudge& {
     return judges.at(static_cast<std::size_t>(router));
   };
-  auto all = [&](const DrainRecord& record) {
-    for (judge::DrainJudge& one : judges) static_cast<void>(one.process(record));
+  auto process_for_all = [&](const DrainRecord& record) {
+    for (judge::DrainJudge& judge : judges) static_cast<void>(judge.process(record));
   };
-  auto one = [&](int router, DrainRecord::Kind kind, Micros at) {
-    static_cast<void>(of(router).process({at, kind}));
+  auto process_for = [&](int router, DrainRecord::Kind kind, Micros at) {
+    static_cast<void>(judge_of(router).process({at, kind}));
   };
-  auto reach = [&](const Event& e) {
+  auto update_reachability = [&](const Event& e) {
     for (std::size_t r = 0; r < judges.size(); ++r) {
-      bool before = up && reaches[r];
-      bool meant = e.router < 0 || static_cast<std::size_t>(e.router) == r;
-      if (!meant) continue;
-      bool now = e.router < 0 ? e.flag && reaches[r] : up && e.flag;
-      if (e.router >= 0) reaches[r] = e.flag;
+      bool before = discovery_up && reachable_from[r];
+      bool concerned = e.router < 0 || static_cast<std::size_t>(e.router) == r;
+      if (!concerned) continue;
+      bool now = e.router < 0 ? e.flag && reachable_from[r] : discovery_up && e.flag;
+      if (e.router >= 0) reachable_from[r] = e.flag;
       if (before != now)
-        one(static_cast<int>(r),
+        process_for(
+            static_cast<int>(r),
             now ? DrainRecord::Kind::DiscoveryReachable : DrainRecord::Kind::DiscoveryUnreachable,
             e.at);
     }
-    if (e.router < 0) up = e.flag;
+    if (e.router < 0) discovery_up = e.flag;
   };
   for (const Event& e : events_) {
     switch (e.kind) {
       case EventKind::TryStarted:
-        router_of[e.id] = e.router;
+        router_by_try[e.id] = e.router;
         break;
       case EventKind::ListChanged:
-        all({e.at,
-             e.extra == Event::Active ? DrainRecord::Kind::ServerReturns
-                                      : DrainRecord::Kind::ServerLeaves,
-             e.cache, 0, e.value});
+        process_for_all({e.at,
+                         e.extra == Event::Active ? DrainRecord::Kind::ServerReturns
+                                                  : DrainRecord::Kind::ServerLeaves,
+                         e.cache, 0, e.value});
         break;
       case EventKind::ReachabilityChanged:
-        reach(e);
+        update_reachability(e);
         break;
       case EventKind::DiscoveryCall:
-        one(e.router, DrainRecord::Kind::CallStarted, e.at);
+        process_for(e.router, DrainRecord::Kind::CallStarted, e.at);
         break;
       case EventKind::DiscoveryAnswer:
-        static_cast<void>(of(e.router).process(
+        static_cast<void>(judge_of(e.router).process(
             {e.at, e.value > 0 ? DrainRecord::Kind::AnswerWritten : DrainRecord::Kind::CallFailed,
              -1, 0, e.value}));
         break;
-      case EventKind::WatchSilent:  // noted with the time at which it counts
-        static_cast<void>(of(e.router).process({e.at, DrainRecord::Kind::WatchSilent, -1,
-                                                e.value - judge::DrainJudge::kAfterSilentWatch}));
+      case EventKind::WatchSilent:  // recorded with the time at which it counts as notified
+        static_cast<void>(
+            judge_of(e.router).process({e.at, DrainRecord::Kind::WatchSilent, -1,
+                                        e.value - judge::DrainJudge::kAfterSilentWatch}));
         break;
       case EventKind::AddressChanged:
-        one(e.router, DrainRecord::Kind::AddressChanged, e.at);
+        process_for(e.router, DrainRecord::Kind::AddressChanged, e.at);
         break;
       case EventKind::ProcessStarted:
-        // The first starts lie before the load, whose begin is the origin of times.
-        if (e.at < scenario_.duration) one(e.router, DrainRecord::Kind::ProcessStarted, e.at);
+        // The first starts happen before the load, so before the origin of event times.
+        if (e.at < scenario_.duration)
+          process_for(e.router, DrainRecord::Kind::ProcessStarted, e.at);
         break;
       case EventKind::AttemptReceived: {
-        auto who = router_of.find(e.id);
-        if (who == router_of.end()) break;
-        auto found = of(who->second).process({e.at, DrainRecord::Kind::RequestSent, e.cache});
+        auto router = router_by_try.find(e.id);
+        if (router == router_by_try.end()) break;
+        auto found =
+            judge_of(router->second).process({e.at, DrainRecord::Kind::RequestSent, e.cache});
         if (!found || broken++ > 0) break;
-        first = "; the first by router " + std::to_string(who->second) + " to cache " +
-                std::to_string(e.cache) + " at " + format_number(seconds(e.at)) + " s, told at " +
-                format_number(seconds(found->notified)) + " s: " + description_of(found->rule);
+        first_violation = "; the first by router " + std::to_string(router->second) + " to cache " +
+                          std::to_string(e.cache) + " at " + format_number(seconds(e.at)) +
+                          " s, told at " + format_number(seconds(found->notified)) +
+                          " s: " + description_of(found->rule);
         break;
       }
       default:
@@ -340,59 +350,61 @@
   }
   return {broken == 0,
           "3  nothing new to a server " + format_number(seconds(parameters_.drain_grace)) +
-              " s after its router was told that it leaves: " + std::to_string(broken) + first,
+              " s after its router was told that it leaves: " + std::to_string(broken) +
+              first_violation,
           static_cast<double>(broken)};
 }
 
-/// Rule 4: no more than the factor of what a cold server can do, over the time that tips one.
+/// Rule 4. Within overload_time, a cold server receives at most overload_factor times its capacity.
 Verdict Checker::check_cold_servers() const {
-  std::map<int, Micros> born;
-  std::map<int, std::deque<Micros>> begun;
-  int pushed = 0;
+  std::map<int, Micros> started_cold;
+  std::map<int, std::deque<Micros>> recent_attempts;
+  int overloads = 0;
   double worst = 0;
-  double warm = scenario_.cores / seconds(scenario_.work_time);
+  double warm_capacity = scenario_.cores / seconds(scenario_.work_time);
   for (const Event& e : events_) {
     if (e.kind == EventKind::ListChanged && e.extra == Event::Active && e.flag) {
-      born[e.cache] = e.at;
-      begun[e.cache].clear();
+      started_cold[e.cache] = e.at;
+      recent_attempts[e.cache].clear();
     }
     if (e.kind != EventKind::AttemptReceived) continue;
-    auto at = born.find(e.cache);
-    if (at == born.end() || e.at - at->second >= scenario_.cold_time) continue;
-    auto& window = begun[e.cache];
+    auto at = started_cold.find(e.cache);
+    if (at == started_cold.end() || e.at - at->second >= scenario_.cold_time) continue;
+    auto& window = recent_attempts[e.cache];
     window.push_back(e.at);
     while (e.at - window.front() > parameters_.overload_time) window.pop_front();
     double age = static_cast<double>(e.at - at->second) / static_cast<double>(scenario_.cold_time);
-    double capacity = warm * (parameters_.cold_share + (1 - parameters_.cold_share) * age);
-    double part = static_cast<double>(window.size()) /
+    double capacity = warm_capacity * (parameters_.cold_share + (1 - parameters_.cold_share) * age);
+    double load = static_cast<double>(window.size()) /
                   (parameters_.overload_factor * capacity * seconds(parameters_.overload_time));
-    pushed += part > 1;
-    worst = std::max(worst, part);
+    overloads += load > 1;
+    worst = std::max(worst, load);
   }
   return {
-      pushed == 0,
+      overloads == 0,
       "4  no cold server pushed over: at worst " + format_number(worst) + " of what tips one over",
       worst};
 }
 
 std::vector<Verdict> Checker::rules() const {
-  auto doubled = std::count_if(events_.begin(), events_.end(),
-                               [](const Event& e) { return e.kind == EventKind::DuplicateEffect; });
+  auto duplicates = std::count_if(events_.begin(), events_.end(), [](const Event& e) {
+    return e.kind == EventKind::DuplicateEffect;
+  });
   int unexpected = 0;
-  std::string ends;
+  std::string details;
   for (const Event& e : events_)
     if (e.kind == EventKind::ProcessExited && !e.flag) {
       ++unexpected;
-      ends += "; router " + std::to_string(e.router) + " with status " + std::to_string(e.value) +
-              " at " + format_number(seconds(e.at)) + " s";
+      details += "; router " + std::to_string(e.router) + " with status " +
+                 std::to_string(e.value) + " at " + format_number(seconds(e.at)) + " s";
     }
   return {check_answers(),
-          {doubled == 0, "2  no effect twice: " + std::to_string(doubled),
-           static_cast<double>(doubled)},
+          {duplicates == 0, "2  no effect twice: " + std::to_string(duplicates),
+           static_cast<double>(duplicates)},
           check_drains(),
           check_cold_servers(),
           {unexpected == 0,
-           "   processes that ended by themselves: " + std::to_string(unexpected) + ends,
+           "   processes that ended by themselves: " + std::to_string(unexpected) + details,
            static_cast<double>(unexpected)}};
 }
 
@@ -403,12 +415,12 @@
     return all[std::min(k, all.size() - 1)];
   };
   for (std::size_t k = 0; k < all.size(); ++k) all[k].at = static_cast<Micros>(k) * width;
-  for (const ClientRequest& job : requests_) {
-    Row& r = row(job.asked);
+  for (const ClientRequest& request : requests_) {
+    Row& r = row(request.started_at);
     ++r.first_tries;
-    ++(!job.served ? r.unserved : is_in_time(job) ? r.in_time : r.late);
+    ++(!request.served ? r.unserved : is_in_time(request) ? r.in_time : r.late);
   }
-  std::map<int, Micros> born;
+  std::map<int, Micros> started_cold;
   for (const Event& e : events_) {
     if (e.at < 0) continue;
     Row& r = row(e.at);
@@ -421,9 +433,9 @@
     r.failed_list_calls += e.kind == EventKind::DiscoveryAnswer && e.value == 0;
     r.dials += e.kind == EventKind::ConnectionOpened;
     r.attempts += e.kind == EventKind::AttemptReceived;
-    if (e.kind == EventKind::ListChanged && e.flag) born[e.cache] = e.at;
-    if (e.kind == EventKind::AttemptReceived && born.count(e.cache) &&
-        e.at - born[e.cache] < scenario_.cold_time)
+    if (e.kind == EventKind::ListChanged && e.flag) started_cold[e.cache] = e.at;
+    if (e.kind == EventKind::AttemptReceived && started_cold.count(e.cache) &&
+        e.at - started_cold[e.cache] < scenario_.cold_time)
       ++r.attempts_cold;
     if (e.kind == EventKind::OriginFetches) r.fetches += static_cast<int>(e.value);
   }
--- a/src/tier/checker.hpp
+++ b/src/tier/checker.hpp
@@ -1,5 +1,5 @@
-// Judges a run by its account: the four rules, the scenario's claims, and the figures behind them.
-// No I/O.
+// Judges a run by its event log: the four rules, the scenario's claims, and the numbers of each
+// second. No I/O.
 #pragma once
 
 #include <string>
@@ -13,10 +13,10 @@
 struct Verdict {
   bool held = false;
   std::string text;
-  double value = 0;  ///< of a claim; times in seconds
+  double value = 0;  ///< measured value of a claim; durations in seconds
 };
 
-/// What came of the first tries of one span of the run, and what that span cost.
+/// Outcomes of the requests of one interval, and the work and failures in it.
 struct Row {
   Micros at = 0;
   int first_tries = 0, in_time = 0, late = 0, unserved = 0;
@@ -25,7 +25,7 @@
       fetches = 0;
 };
 
-/// The rules' figures that the checker needs beside the scenario.
+/// Settings of the routers that the checker needs besides the scenario.
 struct RuleParameters {
   Micros read_objective = 0, write_objective = 0;
   Micros drain_grace = 0, overload_time = 0;
@@ -40,27 +40,28 @@
   std::vector<Verdict> rules() const;
   std::vector<Verdict> claims() const;
   std::vector<Row> rows(Micros width) const;
-  /// From `mark` until service is as in the ten seconds before it: over two seconds at least 98% of
-  /// the part that was served, and no more than 5% more of it late. -1: not in this run.
+  /// Time from `mark` until service is as good as in the ten seconds before it: over two seconds,
+  /// at least 98% of the earlier served share, and a late share at most 5 percentage points higher.
+  /// -1: not reached in this run.
   Micros time_to_full_service(Micros mark) const;
-  /// From each kill in [from, to) of the routers (empty: all) until that router first serves; what
-  /// never serves again counts to the end of the run. Sorted.
+  /// Times from each kill in [from, to) of the routers (empty: all) until that router serves again;
+  /// up to the end of the run for a router that never does. Sorted.
   std::vector<Micros> times_to_first_served(Micros from, Micros to,
                                             const std::vector<int>& routers) const;
 
  private:
   struct ClientRequest {
-    Micros asked, ended = -1;
+    Micros started_at, ended_at = -1;
     int router;
     bool write = false, served = false;
   };
   struct RequestCounts {
-    int asked = 0, served = 0, late = 0;
+    int total = 0, served = 0, late = 0;
   };
   RequestCounts count_requests(Micros from, Micros to, const std::vector<int>& routers = {}) const;
-  double measure(const Claim& hold) const;
-  int peak_count(Event::Kind kind, const Claim& hold, bool by_cache) const;
-  bool is_in_time(const ClientRequest& job) const;
+  double measure(const Claim& claim) const;
+  int peak_count(Event::Kind kind, const Claim& claim, bool by_cache) const;
+  bool is_in_time(const ClientRequest& request) const;
   Verdict check_answers() const;
   Verdict check_drains() const;
   Verdict check_cold_servers() const;
@@ -68,7 +69,7 @@
   const Scenario& scenario_;
   const RuleParameters& parameters_;
   const std::vector<Event>& events_;
-  std::vector<ClientRequest> requests_;  // by time asked
+  std::vector<ClientRequest> requests_;  // by start time
 };
 
 }  // namespace arrowfork::tier
--- a/src/tier/drain_scenario.cpp
+++ b/src/tier/drain_scenario.cpp
@@ -8,7 +8,7 @@
 constexpr Micros kDuration = 22 * kSecond;
 constexpr Micros kFirstFault = 3 * kSecond, kLastFault = 10 * kSecond;
 constexpr int kCaches = 8;
-// As many may leave; the others carry the load.
+// At most this many caches leave; the others carry the load.
 constexpr int kMaxDrains = 4;
 
 class ScenarioGenerator {
@@ -118,7 +118,7 @@
         s_.actions[static_cast<std::size_t>(random_below(static_cast<int>(s_.actions.size())))];
     Micros at = random_between(nearby_fault.at - kSecond, nearby_fault.at + 4 * kSecond);
     Action::CacheChange kind = kinds[random_below(4)];
-    if (kind == Action::CacheChange::Silent) {  // a full buffer behind it, then it drains
+    if (kind == Action::CacheChange::Silent) {  // requests pile up in its buffers before it drains
       Action& hang = add(Action::Kind::Cache, at, "hangs");
       hang.caches = {cache};
       hang.cache_change = Action::CacheChange::Silent;
--- a/src/tier/event_log.hpp
+++ b/src/tier/event_log.hpp
@@ -1,5 +1,5 @@
-// The account of a run: what the stand-ins saw, on one clock. Every judgement is by it alone; no
-// process is believed about itself.
+// The event log of a run: what the simulated clients, caches and discovery observed, on one clock.
+// A run is judged by this log alone, never by what a router process reports about itself.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,40 @@
 
 struct Event {
   enum class Kind : std::uint8_t {
-    TryStarted,  ///< a try goes to `router`: its id, value its job, further its patience, flag: a
-                 ///< write
-    Served,      ///< ends of the try `id`
+    /// A client sends the try `id` to `router`. value: its request, extra: its timeout, flag: it
+    /// is a write.
+    TryStarted,
+    Served,  ///< this and the next five: how the try `id` ended
     Refused,
     Failed,
     Lost,
     Unreached,
     Wrong,
-    RequestDone,          ///< the job `id` is over; flag: it was served
-    ConnectionOpened,     ///< `cache` got a connection
-    AttemptReceived,      ///< the try `id` has come to `cache`, whole
-    DuplicateEffect,      ///< a write ran a second time, at `cache`
-    OriginFetches,        ///< value: fetches that the origin has done since the last
-    DiscoveryCall,        ///< `router` called discovery
-    DiscoveryAnswer,      ///< and was told the list of version `value`; 0: the call failed
-    WatchSilent,          ///< its watch fell silent: what that misses counts as told at `value`
-    AddressChanged,       ///< `router` got SIGHUP with another address of discovery
-    ReachabilityChanged,  ///< discovery can be reached by `router` (-1: by any) from now on, or
-                          ///< can't: flag
-    ListChanged,     ///< the list changed: `cache`, value its version, further a state, flag: it is
-                     ///< cold
-    ProcessStarted,  ///< a process of `router`, value its number
-    ProcessReady,    ///< it answers MN
+    RequestDone,       ///< the request `id` with all its tries is over; flag: it was served
+    ConnectionOpened,  ///< `cache` accepted a connection
+    AttemptReceived,   ///< `cache` received all of the try `id`
+    DuplicateEffect,   ///< a write ran a second time on `cache`
+    OriginFetches,     ///< value: fetches that the origin has done since the last such event
+    DiscoveryCall,     ///< `router` called discovery
+    DiscoveryAnswer,   ///< `router` received list version `value`; 0: the call failed
+    /// The watch of `router` fell silent. value: when changes that it misses count as notified.
+    WatchSilent,
+    AddressChanged,  ///< `router` got SIGHUP with a new discovery address
+    /// flag: whether `router` (-1: any router) can reach discovery from now on.
+    ReachabilityChanged,
+    /// The entry of `cache` changed. value: list version, extra: a ListedState, flag: it is cold.
+    ListChanged,
+    ProcessStarted,  ///< value: the number of the process among those of `router`
+    ProcessReady,    ///< the process answers `mn`
     ProcessKilled,
     ProcessStopped,
     ProcessContinued,
-    ProcessExited,  ///< value: as waitpid() gave it; flag: it was meant to end
-    Label,          ///< the label `value`
+    ProcessExited,  ///< value: status from waitpid(); flag: the exit was expected
+    Label,          ///< value: index into EventLog::labels()
   };
-  /// Of Listed.
+  /// State of a cache in ListChanged.
   enum ListedState : std::int64_t { Active, Leaving, Gone };
-  Micros at = 0;  ///< since the load began
+  Micros at = 0;  ///< since the start of the load
   Kind kind = Kind::Label;
   std::int16_t router = -1, cache = -1;
   std::uint64_t id = 0;
@@ -53,10 +55,10 @@
 
 class EventLog {
  public:
-  /// Past so many events the run is no account any more.
+  /// Events beyond this number are dropped, and the run can no longer be judged.
   static constexpr std::size_t kMaxEvents = 8'000'000;
   explicit EventLog(const TimeSource& clock) : clock_(clock) {}
-  /// From here on times count.
+  /// Sets the origin of event times to now.
   void start() { started_at_ = clock_.now(); }
   Micros now() const { return clock_.now() - started_at_; }
   void record(Event event) {
@@ -70,7 +72,7 @@
     labels_.push_back(label);
     record({.kind = Event::Kind::Label, .value = static_cast<std::int64_t>(labels_.size() - 1)});
   }
-  const std::vector<Event>& events() const { return events_; }  ///< in order of time
+  const std::vector<Event>& events() const { return events_; }  ///< in time order
   const std::vector<std::string>& labels() const { return labels_; }
   bool truncated() const { return truncated_; }
 
--- a/src/tier/link.cpp
+++ b/src/tier/link.cpp
@@ -14,9 +14,9 @@
 namespace arrowfork::tier {
 namespace {
 
-// Of one direction, waiting to be written: past it the sender is held back, as by a full socket.
+// Data buffered per direction; beyond it the relay stops reading, so the sender sees a full socket.
 constexpr std::size_t kMaxBufferedBytes = 256u << 10;
-// A queue of length 0 holds one or two connections; more than these are never needed to fill it.
+// A backlog of 0 still holds one or two connections, so this many always fill it.
 constexpr int kMaxBacklogFillers = 4;
 
 Fd dial(std::uint16_t port) {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-/// One connection and its further half.
+/// A relayed connection: the accepted (near) and the dialled (far) end.
 class Link::Connection {
  public:
   Connection(Link& link, Fd near, Fd far) : link_(link) {
@@ -64,7 +64,7 @@
       by_reset ? reset(e.fd) : e.fd.reset();
     }
   }
-  /// The fault has changed: what waited may go.
+  /// Forwards what the previous fault held back.
   void forward_pending() {
     for (End& e : ends_)
       if (!closed_) forward(e);
@@ -73,16 +73,16 @@
  private:
   struct Chunk {
     Micros due;
-    std::string bytes;  // empty: the sender has ended
+    std::string bytes;  // empty: end of stream
   };
   struct End {
     Connection* connection = nullptr;
-    int index = 0;  // 0 the near one
+    int index = 0;  // 0: near end
     Fd fd;
     EventPtr read, write, timer;
-    std::deque<Chunk> pending;  // read here, to be written at the other end
+    std::deque<Chunk> pending;  // read from this end, to be written to the other
     std::size_t buffered = 0;
-    Micros link_free_at = 0;  // when the link has taken what came before
+    Micros link_free_at = 0;  // Slow: when the data read before has passed the link
     bool end_received = false;
   };
   End& other(const End& e) { return ends_[static_cast<std::size_t>(1 - e.index)]; }
@@ -98,23 +98,23 @@
 
   void receive(End& e) {
     char data[16384];
-    ssize_t got = ::recv(e.fd.get(), data, sizeof data, MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-    if (got < 0) {  // a reset overtakes what was sent before it, but crosses no cut
+    ssize_t received = ::recv(e.fd.get(), data, sizeof data, MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
+    if (received < 0) {  // a reset overtakes earlier data but does not pass a cut
       if (!blocked(e)) return close(true);
-      got = 0;
+      received = 0;
     }
     const LinkFault& f = link_.fault_;
     Micros due = link_.clock_.now();
     if (f.kind == LinkFault::Kind::Delay) due += f.delay;
     if (f.kind == LinkFault::Kind::Slow && f.bytes_per_s > 0) {
       e.link_free_at = std::max(e.link_free_at, due) +
-                       static_cast<Micros>(static_cast<double>(got) * kSecond / f.bytes_per_s);
+                       static_cast<Micros>(static_cast<double>(received) * kSecond / f.bytes_per_s);
       due = e.link_free_at;
     }
-    e.pending.push_back({due, std::string(data, static_cast<std::size_t>(got))});
-    e.buffered += static_cast<std::size_t>(got);
-    if (got == 0) e.end_received = true;
+    e.pending.push_back({due, std::string(data, static_cast<std::size_t>(received))});
+    e.buffered += static_cast<std::size_t>(received);
+    if (received == 0) e.end_received = true;
     if (e.end_received || e.buffered > kMaxBufferedBytes) event_del(e.read.get());
     forward(e);
   }
@@ -125,7 +125,7 @@
                        (from.index == 0 ? f.blocks_forward : f.blocks_backward));
   }
 
-  /// Writes what was read at `from` and is due.
+  /// Writes the data read from `from` that is due.
   void forward(End& from) {
     End& to = other(from);
     while (!closed_ && !from.pending.empty() && !blocked(from)) {
@@ -142,13 +142,13 @@
         if (to.end_received && to.pending.empty()) return close(false);
         continue;
       }
-      ssize_t put = ::send(to.fd.get(), c.bytes.data(), c.bytes.size(), MSG_NOSIGNAL);
-      if (put < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOTCONN)) {
+      ssize_t written = ::send(to.fd.get(), c.bytes.data(), c.bytes.size(), MSG_NOSIGNAL);
+      if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOTCONN)) {
         event_add(to.write.get(), nullptr);
         return;
       }
-      if (put < 0) return close(true);
-      auto sent = static_cast<std::size_t>(put);
+      if (written < 0) return close(true);
+      auto sent = static_cast<std::size_t>(written);
       from.buffered -= sent;
       forwarded_bytes_ += sent;
       sent == c.bytes.size() ? from.pending.pop_front() : static_cast<void>(c.bytes.erase(0, sent));
@@ -198,7 +198,7 @@
   for (int k = 0; k < kMaxBacklogFillers; ++k) {
     backlog_fillers_.push_back(dial(port_));
     pollfd up{backlog_fillers_.back().get(), POLLOUT, 0};
-    if (::poll(&up, 1, 5) == 0) return;  // this one was dropped: so will all others be
+    if (::poll(&up, 1, 5) == 0) return;  // the SYN was dropped, so the backlog is full
   }
 }
 
@@ -214,7 +214,7 @@
   Fd near(::accept4(l->listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!near) return;
   char byte;
-  if (::recv(near.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0) return;  // a stopper
+  if (::recv(near.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0) return;  // a backlog filler
   std::uint16_t port = l->fault_.kind == LinkFault::Kind::Refuse ? 0 : l->target_();
   Fd far = port ? dial(port) : Fd();
   if (!far) return reset(near);
--- a/src/tier/link.hpp
+++ b/src/tier/link.hpp
@@ -1,5 +1,5 @@
-// A path between two processes of a rig, with faults: a relay on loopback that delays, slows, cuts,
-// falls silent, resets and refuses as it is told.
+// A link between two processes: a TCP relay on loopback that can delay, throttle, block, blackhole,
+// reset and refuse connections.
 #pragma once
 
 #include <cstdint>
@@ -12,29 +12,29 @@
 
 namespace arrowfork::tier {
 
-/// What a link does to what crosses it. `Onward` is the way from the end that connects.
+/// A fault on a link. The forward direction starts at the end that connects.
 struct LinkFault {
   enum class Kind {
     None,
-    Delay,   ///< every byte comes `delay` later
-    Slow,    ///< `bytes_per_s` each way and connection
-    Cut,     ///< nothing crosses, as told by `onward` and `back`; what was sent comes when healed
-    Silent,  ///< open connections are dead from here on and reset when healed: a vanished machine
-    Reset,   ///< each connection is reset once so many `bytes` have crossed
-    Refuse,  ///< new connections are ended at once; open ones stay
+    Delay,   ///< every byte arrives `delay` later
+    Slow,    ///< `bytes_per_s` per connection and direction
+    Cut,     ///< the blocked directions hold data back until the fault is cleared
+    Silent,  ///< like a vanished machine: open connections stall, and are reset once it is cleared
+    Reset,   ///< each connection is reset after `bytes` bytes
+    Refuse,  ///< new connections are reset at once; open ones stay
   };
   Kind kind = Kind::None;
   Micros delay = 0;
   double bytes_per_s = 0;
   std::uint64_t bytes = 0;
-  bool blocks_forward = true, blocks_backward = true;  ///< of Cut
+  bool blocks_forward = true, blocks_backward = true;  ///< for Cut
 };
 
 class Link {
  public:
-  /// Loopback port of the far end; 0 where nobody listens now.
+  /// Returns the loopback port of the far end; 0 if nothing listens there now.
   using Target = std::function<std::uint16_t()>;
-  /// Listens on a port that the system chooses. Throws std::runtime_error where it can't.
+  /// Listens on a port that the system chooses. Throws std::runtime_error on failure.
   Link(event_base* base, const TimeSource& clock, Target target);
   ~Link();
   Link(const Link&) = delete;
@@ -49,8 +49,8 @@
  private:
   class Connection;
   static void on_accept(evutil_socket_t, short, void* self);
-  /// A cut link answers no handshake, as little as a cut wire does: the listener's queue is kept
-  /// full, so that the kernel drops what asks to be connected.
+  /// Keeps the listener's backlog full, so that the kernel drops SYNs: a cut link completes no
+  /// handshake, like a cut wire.
   void fill_backlog();
   void empty_backlog();
   void drop_closed();
--- a/src/tier/report.hpp
+++ b/src/tier/report.hpp
@@ -1,4 +1,4 @@
-// A run's result as text, JSON and a page with plots.
+// Writes the result of a run as text, JSON and an HTML page with plots.
 #pragma once
 
 #include <ostream>
@@ -10,7 +10,7 @@
 
 struct Result {
   std::vector<Verdict> rules, claims;
-  std::vector<Row> rows;  ///< a second each
+  std::vector<Row> rows;  ///< one per second
   std::vector<std::pair<double, std::string>> marks;
   int status = 0;
   Micros max_lag = 0;
--- a/src/tier/scenario.cpp
+++ b/src/tier/scenario.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Micros kMaxDuration = 600 * kSecond;
-// As large as any list elsewhere; what a machine bears of it is its own limit on processes and
-// descriptors, which the stage raises to what the system allows.
+// The bound on server lists elsewhere. What a machine can run of it depends on its limits on
+// processes and descriptors; the runner raises the latter as far as the system allows.
 constexpr int kMaxRouters = 1024, kMaxCaches = 1024;
 
 template <class E>
@@ -84,14 +84,14 @@
 template <class E, std::size_t N>
 void read_choice(TableReader& t, const char* name, const std::array<NamedValue<E>, N>& all,
                  E& value) {
-  std::vector<std::string> words;
-  for (const auto& one : all) words.emplace_back(one.name);
-  std::string word = words.front();
-  for (const auto& one : all)
-    if (one.value == value) word = one.name;
-  t.choice(name, word, words);
-  for (const auto& one : all)
-    if (word == one.name) value = one.value;
+  std::vector<std::string> names;
+  for (const auto& entry : all) names.emplace_back(entry.name);
+  std::string name_read = names.front();
+  for (const auto& entry : all)
+    if (entry.value == value) name_read = entry.name;
+  t.choice(name, name_read, names);
+  for (const auto& entry : all)
+    if (name_read == entry.name) value = entry.value;
 }
 
 void require(TableReader& t, const char* name) {
@@ -139,8 +139,8 @@
   t.duration("at", a.at, 0, s.duration);
   read_choice(t, "what", kActionKinds, a.kind);
   t.text("label", a.label);
-  bool on_routers = a.kind <= Kind::Link;
-  if (on_routers) {
+  bool acts_on_routers = a.kind <= Kind::Link;
+  if (acts_on_routers) {
     require(t, "routers");
     t.group("routers", a.routers, s.router_count);
   }
@@ -202,8 +202,8 @@
   if (a.at + (a.repetitions - 1) * a.interval + std::max<Micros>(0, a.restart_delay) > s.duration)
     t.error("goes on past the end of the scenario");
   if (a.label.empty())
-    for (const auto& one : kActionKinds)
-      if (one.value == a.kind) a.label = one.name;
+    for (const auto& entry : kActionKinds)
+      if (entry.value == a.kind) a.label = entry.name;
   s.actions.push_back(std::move(a));
 }
 
@@ -213,8 +213,8 @@
   h.to = s.duration;
   require(t, "what");
   read_choice(t, "what", kMetrics, h.metric);
-  for (const auto& one : kMetrics)
-    if (one.value == h.metric) h.label = one.name;
+  for (const auto& entry : kMetrics)
+    if (entry.value == h.metric) h.label = entry.name;
   t.duration("from", h.from, 0, s.duration);
   t.duration("to", h.to, 0, s.duration);
   if (h.to <= h.from) t.error("to is not after from");
@@ -309,9 +309,9 @@
     errors.add(e.source(), std::string(e.description()));
   }
   if (!errors.all().empty()) {
-    std::string all;
-    for (const std::string& one : errors.all()) all += (all.empty() ? "" : "\n") + one;
-    throw std::runtime_error(all);
+    std::string message;
+    for (const std::string& entry : errors.all()) message += (message.empty() ? "" : "\n") + entry;
+    throw std::runtime_error(message);
   }
   return s;
 }
@@ -319,7 +319,7 @@
 Scenario read_scenario(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": can't be read");
+  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": cannot be read");
   return parse_scenario(text.str(), path);
 }
 
--- a/src/tier/tier.cpp
+++ b/src/tier/tier.cpp
@@ -19,7 +19,7 @@
   std::ofstream file(path, std::ios::binary);
   if (file) write(file);
   file.close();
-  if (!file) throw std::runtime_error(path + ": can't be written");
+  if (!file) throw std::runtime_error(path + ": cannot be written");
 }
 
 }  // namespace
@@ -39,17 +39,18 @@
     if (e.kind == Event::Kind::Label)
       r.marks.emplace_back(static_cast<double>(e.at) / kSecond,
                            log.labels().at(static_cast<std::size_t>(e.value)));
-  auto broken = [](const std::vector<Verdict>& all) {
+  auto any_violated = [](const std::vector<Verdict>& all) {
     return std::any_of(all.begin(), all.end(), [](const Verdict& v) { return !v.held; });
   };
-  // Past what the rules' times are given for this machine, lateness may be the rig's own.
-  r.status = log.truncated() || r.max_lag > scenario.slack ? kTooSlow
-             : broken(r.rules) || broken(r.claims)         ? kFailed
-                                                           : kPassed;
+  // Beyond the tolerance for this machine, delays may come from the simulation itself.
+  r.status = log.truncated() || r.max_lag > scenario.slack     ? kTooSlow
+             : any_violated(r.rules) || any_violated(r.claims) ? kFailed
+                                                               : kPassed;
   if (!options.quiet) write_table(scenario, r, std::cout);
   write_file(options.json, [&](std::ostream& out) { out << result_to_json(scenario, r) << '\n'; });
   write_file(options.html, [&](std::ostream& out) { write_html(scenario, r, out); });
-  if (r.status == kTooSlow) std::cout << "this machine did not keep up: nothing is claimed\n";
+  if (r.status == kTooSlow)
+    std::cout << "this machine did not keep up with the load; nothing was judged\n";
   return std::cout.flush() ? r.status : kUnusable;
 } catch (const std::exception& e) {
   std::fprintf(stderr, "wheeldeal tier: %s\n", e.what());
--- a/src/tier/tier.hpp
+++ b/src/tier/tier.hpp
@@ -1,4 +1,5 @@
-// Plays a scenario: processes of the program on loopback, stand-ins behind links, one account.
+// Runs a scenario: router processes on loopback, simulated clients, caches and discovery connected
+// through links with faults, and one event log.
 #pragma once
 
 #include <string>
@@ -8,21 +9,21 @@
 namespace arrowfork::tier {
 
 struct TierOptions {
-  std::string wheeldeal, arrowfork;  ///< programs; the second may be empty where none is asked for
+  std::string wheeldeal, arrowfork;  ///< programs; the second may be empty if not needed
   std::string json, html;            ///< files to write; empty: none
-  std::string logs;                  ///< folder for the routers' logs; empty: none is kept
-  bool quiet = false;                ///< no table
+  std::string logs;                  ///< directory for the routers' logs; empty: not kept
+  bool quiet = false;                ///< do not print the table
 };
 
 /// Exit status of a run.
 enum TierStatus {
   kPassed = 0,
-  kFailed = 1,    ///< a rule or a claim
-  kUnusable = 2,  ///< it could not be played: the scenario, a process that does not start
-  kTooSlow = 3,   ///< this machine did not keep up with the load, so nothing is claimed
+  kFailed = 1,    ///< a rule or a claim is violated
+  kUnusable = 2,  ///< the run could not be done, for example a process did not start
+  kTooSlow = 3,   ///< this machine did not keep up with the load, so nothing was judged
 };
 
-/// Plays and prints; what can't be played is said on standard error.
+/// Runs the scenario and prints the result; errors go to standard error.
 int run_scenario(const Scenario& scenario, const TierOptions& options);
 
 }  // namespace arrowfork::tier
--- a/src/tier/toml_reader.cpp
+++ b/src/tier/toml_reader.cpp
@@ -16,23 +16,23 @@
 }
 
 template <class T>
-std::string range_error(T least, T most) {
+std::string range_error(T min, T max) {
   std::ostringstream out;
-  out << "not from " << least << " to " << most;
+  out << "not from " << min << " to " << max;
   return out.str();
 }
 
-/// Parts of a group; false where the text is none.
+/// Adds an index or a range of indices; false if the text is neither.
 bool add_range(std::string_view text, int count, std::vector<int>& all) {
   int from = 0, to = 0;
   const char* end = text.data() + text.size();
-  auto [stop, error] = std::from_chars(text.data(), end, from);
-  if (error != std::errc()) return false;
+  auto [number_end, result] = std::from_chars(text.data(), end, from);
+  if (result != std::errc()) return false;
   to = from;
-  if (stop != end) {
-    if (*stop != '-') return false;
-    auto [stop2, error2] = std::from_chars(stop + 1, end, to);
-    if (error2 != std::errc() || stop2 != end) return false;
+  if (number_end != end) {
+    if (*number_end != '-') return false;
+    auto [range_end, range_result] = std::from_chars(number_end + 1, end, to);
+    if (range_result != std::errc() || range_end != end) return false;
   }
   if (from < 0 || to < from || to >= count) return false;
   for (int k = from; k <= to; ++k) all.push_back(k);
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-void ErrorList::add(const toml::source_region& at, const std::string& what) {
+void ErrorList::add(const toml::source_region& at, const std::string& message) {
   all_.push_back(file_ + ":" + std::to_string(at.begin.line) + ":" +
-                 std::to_string(at.begin.column) + ": " + what);
+                 std::to_string(at.begin.column) + ": " + message);
 }
 
 std::optional<Micros> parse_duration(const std::string& text) {
@@ -51,10 +51,10 @@
       {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}}};
   double value = 0;
   const char* end = text.data() + text.size();
-  auto [stop, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc() || !std::isfinite(value) || value < 0 || value > 1e9)
+  auto [number_end, result] = std::from_chars(text.data(), end, value);
+  if (result != std::errc() || !std::isfinite(value) || value < 0 || value > 1e9)
     return std::nullopt;
-  std::string_view unit(stop, static_cast<std::size_t>(end - stop));
+  std::string_view unit(number_end, static_cast<std::size_t>(end - number_end));
   for (const auto& [name, micros] : kUnits)
     if (unit == name) return static_cast<Micros>(std::llround(value * micros));
   return std::nullopt;
@@ -71,9 +71,9 @@
   return all.empty() ? all : all + ": ";
 }
 
-void TableReader::error_at(std::string_view name, const std::string& what) {
+void TableReader::error_at(std::string_view name, const std::string& message) {
   const toml::node* n = table_.get(name);
-  errors_.add(n ? n->source() : table_.source(), key_path(name) + what);
+  errors_.add(n ? n->source() : table_.source(), key_path(name) + message);
 }
 
 bool TableReader::has(std::string_view name) { return node(name) != nullptr; }
@@ -81,8 +81,8 @@
 void TableReader::text(std::string_view name, std::string& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (auto got = n->value_exact<std::string>())
-    value = *got;
+  if (auto read = n->value_exact<std::string>())
+    value = *read;
   else
     error_at(name, "not a text");
 }
@@ -90,52 +90,52 @@
 void TableReader::choice(std::string_view name, std::string& value,
                          const std::vector<std::string>& words) {
   if (!node(name)) return;
-  std::string got = value;
-  text(name, got);
+  std::string read = value;
+  text(name, read);
   std::string all;
   for (const std::string& one : words) {
-    if (one == got) {
-      value = got;
+    if (one == read) {
+      value = read;
       return;
     }
     all += (all.empty() ? "" : ", ") + one;
   }
-  error_at(name, "'" + got + "' is none of " + all);
+  error_at(name, "'" + read + "' is none of " + all);
 }
 
 void TableReader::flag(std::string_view name, bool& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (auto got = n->value_exact<bool>())
-    value = *got;
+  if (auto read = n->value_exact<bool>())
+    value = *read;
   else
     error_at(name, "neither true nor false");
 }
 
-void TableReader::integer(std::string_view name, int& value, int least, int most) {
+void TableReader::integer(std::string_view name, int& value, int min, int max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value_exact<std::int64_t>();
-  if (!got || *got < least || *got > most) return error_at(name, range_error(least, most));
-  value = static_cast<int>(*got);
+  auto read = n->value_exact<std::int64_t>();
+  if (!read || *read < min || *read > max) return error_at(name, range_error(min, max));
+  value = static_cast<int>(*read);
 }
 
-void TableReader::number(std::string_view name, double& value, double least, double most) {
+void TableReader::number(std::string_view name, double& value, double min, double max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value<double>();
-  if (!got || !(*got >= least && *got <= most)) return error_at(name, range_error(least, most));
-  value = *got;
+  auto read = n->value<double>();
+  if (!read || !(*read >= min && *read <= max)) return error_at(name, range_error(min, max));
+  value = *read;
 }
 
-void TableReader::duration(std::string_view name, Micros& value, Micros least, Micros most) {
+void TableReader::duration(std::string_view name, Micros& value, Micros min, Micros max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value_exact<std::string>();
-  auto span = got ? parse_duration(*got) : std::nullopt;
+  auto read = n->value_exact<std::string>();
+  auto span = read ? parse_duration(*read) : std::nullopt;
   if (!span) return error_at(name, "no time with a unit, as \"20ms\", \"1.5s\", \"2min\"");
-  if (*span < least || *span > most)
-    return error_at(name, range_error(format_duration(least), format_duration(most)));
+  if (*span < min || *span > max)
+    return error_at(name, range_error(format_duration(min), format_duration(max)));
   value = *span;
 }
 
@@ -145,8 +145,8 @@
   std::string text;
   if (auto number = n->value_exact<std::int64_t>())
     text = std::to_string(*number);
-  else if (auto got = n->value_exact<std::string>())
-    text = *got;
+  else if (auto read = n->value_exact<std::string>())
+    text = *read;
   std::vector<int> all;
   bool good = !text.empty();
   if (text == "all") text = "0-" + std::to_string(count - 1);
--- a/src/tier/toml_reader.hpp
+++ b/src/tier/toml_reader.hpp
@@ -1,5 +1,5 @@
-// Reads tables of a TOML file into typed values and collects every fault with its line and column:
-// names that nobody knows, missing ones, wrong types, units and ranges.
+// Reads tables of a TOML file into typed values and collects every error with its line and column:
+// unknown and missing keys, wrong types, units and ranges.
 #pragma once
 
 #include <toml++/toml.h>
@@ -14,11 +14,11 @@
 
 namespace arrowfork::tier {
 
-/// What is wrong with a file, a line each: "FILE:LINE:COLUMN: what".
+/// Errors in a file, each as "FILE:LINE:COLUMN: message".
 class ErrorList {
  public:
   explicit ErrorList(std::string file) : file_(std::move(file)) {}
-  void add(const toml::source_region& at, const std::string& what);
+  void add(const toml::source_region& at, const std::string& message);
   const std::vector<std::string>& all() const { return all_; }
 
  private:
@@ -26,11 +26,11 @@
   std::vector<std::string> all_;
 };
 
-/// "250us", "20ms", "1.5s", "2min"; nothing where the text is none.
+/// Parses "250us", "20ms", "1.5s" or "2min"; nothing if the text is not a duration.
 std::optional<Micros> parse_duration(const std::string& text);
 
-/// One table. Each name that is asked for is known; finish() blames the others. What can't be read
-/// keeps its value and is blamed.
+/// Reads one table. Each key that is read becomes known; reject_unknown_keys() reports the others.
+/// A value that cannot be read is reported and leaves the variable unchanged.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string path, ErrorList& errors)
@@ -38,24 +38,24 @@
 
   bool has(std::string_view name);
   void text(std::string_view name, std::string& value);
-  /// One of `words`.
+  /// A text that must be one of `words`.
   void choice(std::string_view name, std::string& value, const std::vector<std::string>& words);
   void flag(std::string_view name, bool& value);
-  void integer(std::string_view name, int& value, int least, int most);
-  void number(std::string_view name, double& value, double least, double most);
-  void duration(std::string_view name, Micros& value, Micros least, Micros most);
-  /// "3", "0-8", "0-3, 7" of `count` things, or "all"; an integer too.
+  void integer(std::string_view name, int& value, int min, int max);
+  void number(std::string_view name, double& value, double min, double max);
+  void duration(std::string_view name, Micros& value, Micros min, Micros max);
+  /// Indices below `count`: "3", "0-8", "0-3, 7" or "all"; also an integer.
   void group(std::string_view name, std::vector<int>& value, int count);
-  /// Calls `read` for a table under the name, then blames what it left.
+  /// Calls `read` for the table `name`, then reports the keys that it did not read.
   void table(std::string_view name, const std::function<void(TableReader&)>& read);
-  /// The same for each table of an array.
+  /// The same for each table of the array `name`.
   void tables(std::string_view name, const std::function<void(TableReader&)>& read);
-  /// A table as JSON text, whatever is in it; empty: none.
+  /// A table of any content, as JSON text; empty if there is none.
   void json(std::string_view name, std::string& value);
 
-  void error(const std::string& what) { errors_.add(table_.source(), key_path("") + what); }
-  void error_at(std::string_view name, const std::string& what);
-  /// Blames every name that was not asked for.
+  void error(const std::string& message) { errors_.add(table_.source(), key_path("") + message); }
+  void error_at(std::string_view name, const std::string& message);
+  /// Reports every key that was not read.
   void reject_unknown_keys();
 
  private:
