--- a/src/tier/scenario.cpp
+++ b/src/tier/scenario.cpp
@@ -95,7 +95,7 @@
 }
 
 void require(TableReader& t, const char* name) {
-  if (!t.has(name)) t.error(std::string("no ") + name);
+  if (!t.has(name)) t.error(std::string("missing key ") + name);
 }
 
 void read_link(TableReader& t, const Scenario& s, Action& a) {
@@ -147,7 +147,7 @@
   if (a.kind < Kind::Link || a.kind == Kind::Cache) t.duration("each", a.stagger, 0, s.duration);
   t.integer("times", a.repetitions, 1, 10'000);
   t.duration("every", a.interval, 0, s.duration);
-  if (a.repetitions > 1 && a.interval == 0) t.error("times without every");
+  if (a.repetitions > 1 && a.interval == 0) t.error("times needs every");
   switch (a.kind) {
     case Kind::Kill:
     case Kind::Term:
@@ -200,7 +200,7 @@
       break;
   }
   if (a.at + (a.repetitions - 1) * a.interval + std::max<Micros>(0, a.restart_delay) > s.duration)
-    t.error("goes on past the end of the scenario");
+    t.error("extends beyond the end of the scenario");
   if (a.label.empty())
     for (const auto& entry : kActionKinds)
       if (entry.value == a.kind) a.label = entry.name;
@@ -217,7 +217,7 @@
     if (entry.value == h.metric) h.label = entry.name;
   t.duration("from", h.from, 0, s.duration);
   t.duration("to", h.to, 0, s.duration);
-  if (h.to <= h.from) t.error("to is not after from");
+  if (h.to <= h.from) t.error("to must be after from");
   if (h.metric == Metric::ServedShare || h.metric == Metric::FirstServedTime)
     t.group("routers", h.routers, s.router_count);
   if (h.metric == Metric::PeakDials || h.metric == Metric::PeakAttempts ||
@@ -237,7 +237,7 @@
   };
   bound("least", h.min, h.has_min);
   bound("most", h.max, h.has_max);
-  if (!h.has_min && !h.has_max) t.error("neither least nor most");
+  if (!h.has_min && !h.has_max) t.error("needs least or most");
   s.claims.push_back(std::move(h));
 }
 
--- a/src/tier/stage.cpp
+++ b/src/tier/stage.cpp
@@ -21,9 +21,9 @@
 constexpr Micros kTickInterval = 5 * kMillisecond;
 constexpr Micros kStartTimeout = 30 * kSecond;
 constexpr Micros kExitTimeout = 5 * kSecond;
-// Descriptors: each router may have a connection of each kind to each stand-in, twice over links.
+// Each router may have a connection of each kind to each simulated peer, and links double them.
 constexpr rlim_t kMaxDescriptors = 32'768;
-// How often a successor is looked at, and how long it may take.
+// How often the runner checks whether a successor has started, and how many times at most.
 constexpr Micros kUpgradePollInterval = 20 * kMillisecond;
 constexpr int kUpgradePolls = 300;
 constexpr Micros kFormerAddressGrace = 1500 * kMillisecond;
@@ -126,7 +126,7 @@
   e.dial = slot.server->address();
   e.health = health;
   e.born_ms = slot.started_at / kMillisecond;
-  // Noted first: watches are answered within put().
+  // Recorded first, because put() answers watches before it returns.
   event_log_.record({.kind = EventKind::ListChanged,
                      .cache = static_cast<std::int16_t>(index),
                      .value = static_cast<std::int64_t>(discovery_.version() + 1),
@@ -202,7 +202,7 @@
         next->set_observer(this);
         cache_index_by_server_[next.get()] = index;
         slot.server->set_away(true);
-        replaced_caches_.push_back(std::exchange(slot.server, std::move(next)));
+        former_caches_.push_back(std::exchange(slot.server, std::move(next)));
       }
       slot.id = model.id() + "-" + std::to_string(++slot.generation);
       cache_index_by_id_[slot.id] = index;
@@ -212,11 +212,11 @@
   }
 }
 
-void ScenarioRunner::restore_cache(int index, Action::CacheChange state) {
+void ScenarioRunner::restore_cache(int index, Action::CacheChange change) {
   auto k = static_cast<std::size_t>(index);
   CacheSlot& slot = caches_[k];
   world_->fleet().servers()[k]->set_trouble(emu::Trouble::None);
-  if (state == Action::CacheChange::Leave) {
+  if (change == Action::CacheChange::Leave) {
     slot.server->set_away(false);
     restart_cache(index);
     list_cache(index, "active", true);
@@ -248,19 +248,19 @@
 
 // ---- routers ----
 
-/// Of discovery, for that router.
+/// Opens a port of discovery for that router.
 std::size_t ScenarioRunner::open_discovery_port(int router) {
   auto dial = [this, router](const std::string& id, const rig::DiscoveryServer::Entry& entry) {
     auto& links = routers_[static_cast<std::size_t>(router)].to_caches;
     auto link = links.find(cache_index_by_id_.at(id));
     return link == links.end() ? entry.dial : "127.0.0.1:" + std::to_string(link->second->port());
   };
-  std::size_t number = discovery_.add_port(dial);
-  router_by_discovery_port_[number] = router;
-  return number;
+  std::size_t port = discovery_.add_port(dial);
+  router_by_discovery_port_[port] = router;
+  return port;
 }
 
-/// DAYS: the old address takes no new connection and closes the open ones after 1.5 s.
+/// The former address accepts no new connection and closes the open ones after 1.5 s (DAYS).
 void ScenarioRunner::change_discovery_address(Router& router) {
   discovery_.close_port(router.discovery_port, kFormerAddressGrace);
   router.discovery_port = open_discovery_port(router.index);
@@ -268,7 +268,7 @@
       {.kind = EventKind::AddressChanged, .router = static_cast<std::int16_t>(router.index)});
 }
 
-/// Links are made for the pairs that the timeline names; all others reach each other at once.
+/// Creates links only for the pairs that the timeline names; all others connect directly.
 void ScenarioRunner::start_routers() {
   routers_.resize(static_cast<std::size_t>(scenario_.router_count));
   for (int r = 0; r < scenario_.router_count; ++r) {
@@ -288,7 +288,7 @@
       };
       if (a.path == Action::LinkPath::RoutersToDiscovery)
         make(router.to_discovery,
-             [this, number = router.discovery_port] { return discovery_.port(number); });
+             [this, port = router.discovery_port] { return discovery_.port(port); });
       if (a.path == Action::LinkPath::TillsToRouters)
         make(router.from_tills,
              [&router] { return router.process ? router.process->port() : std::uint16_t{0}; });
@@ -296,26 +296,26 @@
         for (int c : caches) make(router.to_caches[c], [this, c] { return cache_port(c); });
     }
   }
-  for (Router& router : routers_) first_lists_.push_back(discovery_.whole(router.discovery_port));
+  for (Router& router : routers_) start_lists_.push_back(discovery_.whole(router.discovery_port));
   discovery_.set_observer(this);
   for (Router& router : routers_) start(router, scenario_.initial_list);
   tick_event_.reset(event_new(base_.get(), -1, EV_PERSIST, on_tick, this));
   timeval every = timeval_of(kTickInterval);
   event_add(tick_event_.get(), &every);
-  bool up = run_loop_until(
+  bool all_serving = run_loop_until(
       [&] {
         return std::all_of(routers_.begin(), routers_.end(),
                            [](const Router& r) { return r.serving; });
       },
       kStartTimeout);
-  if (up) return;
+  if (all_serving) return;
   for (const Router& r : routers_)
     if (!r.serving)
       throw std::runtime_error("router " + std::to_string(r.index) + " did not start:\n" +
                                r.process->log());
 }
 
-std::string ScenarioRunner::router_config(const Router& router, InitialList known) const {
+std::string ScenarioRunner::router_config(const Router& router, InitialList initial_list) const {
   std::string discovery = router.to_discovery
                               ? "127.0.0.1:" + std::to_string(router.to_discovery->port())
                               : discovery_.address(router.discovery_port);
@@ -323,15 +323,15 @@
       {"name", "n" + std::to_string(router.index)},
       {"listen", "127.0.0.1:0"},
       {"discovery", discovery},
-      // New with each start, as the platform has it.
+      // The platform gives each start a new seed.
       {"seed", std::to_string(1'000'000 + scenario_.seed * 10'000 +
-                              static_cast<unsigned>(router.index * 100 + router.starts))},
+                              static_cast<unsigned>(router.index * 100 + router.start_count))},
       {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", scenario_.max_sockets}}},
       {"settings", Json::parse(rig::settings_json(plan_.settings, scenario_.router_count))}};
-  if (known == InitialList::Current)
+  if (initial_list == InitialList::Current)
     config["known"] = Json::parse(discovery_.whole(router.discovery_port));
-  if (known == InitialList::Old)
-    config["known"] = Json::parse(first_lists_.at(static_cast<std::size_t>(router.index)));
+  if (initial_list == InitialList::Old)
+    config["known"] = Json::parse(start_lists_.at(static_cast<std::size_t>(router.index)));
   if (scenario_.control) {
     auto state = folder_.path() / ("state" + std::to_string(router.index));
     std::filesystem::create_directories(state);
@@ -339,8 +339,8 @@
     config["state_dir"] = state.string();
   }
   if (scenario_.store) config["store"] = {{"folder", store_directory(router.index).string()}};
-  for (const std::string* more : {&scenario_.config, &router.config})
-    if (!more->empty()) config.merge_patch(Json::parse(*more));
+  for (const std::string* patch : {&scenario_.config, &router.config})
+    if (!patch->empty()) config.merge_patch(Json::parse(*patch));
   return config.dump(1);
 }
 
@@ -348,7 +348,7 @@
   return folder_.path() / ("store" + std::to_string(router));
 }
 
-/// Between two lives of a router.
+/// Prepares the stored state between two processes of a router.
 void ScenarioRunner::prepare_stored_state(int router, StoredState state) {
   namespace fs = std::filesystem;
   fs::path own = store_directory(router), first = own.string() + ".first";
@@ -366,21 +366,21 @@
     fs::resize_file(file.path(), file.file_size() / 2);
 }
 
-void ScenarioRunner::start(Router& router, InitialList known) {
+void ScenarioRunner::start(Router& router, InitialList initial_list) {
   std::string name = "n" + std::to_string(router.index);
   auto at = folder_.path() / (name + ".json");
-  std::ofstream(at) << router_config(router, known);
+  std::ofstream(at) << router_config(router, initial_list);
   std::filesystem::path logs =
       options_.logs.empty() ? folder_.path() : std::filesystem::path(options_.logs);
-  auto log = logs / (name + "-" + std::to_string(++router.starts) + ".log");
-  bool lean = scenario_.program == "arrowfork";
-  const std::string& program = lean ? options_.arrowfork : options_.wheeldeal;
+  auto log = logs / (name + "-" + std::to_string(++router.start_count) + ".log");
+  bool is_arrowfork = scenario_.program == "arrowfork";
+  const std::string& program = is_arrowfork ? options_.arrowfork : options_.wheeldeal;
   if (program.empty())
-    throw std::runtime_error("no program '" + scenario_.program + "' is known here");
-  auto process = std::make_unique<rig::RouterProcess>(program, at, log, lean);
+    throw std::runtime_error("no path is set for program '" + scenario_.program + "'");
+  auto process = std::make_unique<rig::RouterProcess>(program, at, log, is_arrowfork);
   event_log_.record({.kind = EventKind::ProcessStarted,
                      .router = static_cast<std::int16_t>(router.index),
-                     .value = router.starts});
+                     .value = router.start_count});
   if (router.process && !router.process->ended()) {
     router.successor = std::move(process);
     return;
@@ -390,13 +390,14 @@
   router.probe_socket.reset();
 }
 
-void ScenarioRunner::start_after_exit(Router& router, InitialList known, StoredState state) {
+void ScenarioRunner::start_after_exit(Router& router, InitialList initial_list, StoredState state) {
   if (!router.process) {
     prepare_stored_state(router.index, state);
-    return start(router, known);
+    return start(router, initial_list);
   }
-  run_after(kTickInterval,
-            [this, &router, known, state] { start_after_exit(router, known, state); });
+  run_after(kTickInterval, [this, &router, initial_list, state] {
+    start_after_exit(router, initial_list, state);
+  });
 }
 
 void ScenarioRunner::end_process(Router& router, int signal, const Action& a) {
@@ -410,18 +411,19 @@
   router.process->signal(signal);
   if (!a.config.empty()) router.config = a.config;
   if (a.restart_delay >= 0)
-    run_after(a.restart_delay, [this, &router, known = a.initial_list, state = a.stored_state] {
-      start_after_exit(router, known, state);
-    });
+    run_after(a.restart_delay,
+              [this, &router, initial_list = a.initial_list, state = a.stored_state] {
+                start_after_exit(router, initial_list, state);
+              });
 }
 
-void ScenarioRunner::stop(Router& router, Micros lasts) {
+void ScenarioRunner::stop(Router& router, Micros duration) {
   if (!router.process || router.stopped) return;
   router.stopped = true, router.unavailable_since = clock_.now();
   event_log_.record(
       {.kind = EventKind::ProcessStopped, .router = static_cast<std::int16_t>(router.index)});
   router.process->signal(SIGSTOP);
-  if (lasts > 0) run_after(lasts, [this, &router] { resume(router); });
+  if (duration > 0) run_after(duration, [this, &router] { resume(router); });
 }
 
 void ScenarioRunner::resume(Router& router) {
@@ -437,13 +439,14 @@
   finish_upgrade(router, kUpgradePolls);
 }
 
-void ScenarioRunner::finish_upgrade(Router& router, int tries) {
-  if (!router.process || !router.successor) return;  // one of them was killed meanwhile
+void ScenarioRunner::finish_upgrade(Router& router, int polls) {
+  if (!router.process || !router.successor) return;  // one of them was killed in the meantime
   if (router.successor->port() == 0) {
-    if (tries == 0)
-      throw std::runtime_error("a new version did not start: " + router.successor->log());
+    if (polls == 0)
+      throw std::runtime_error("the successor in an upgrade did not start: " +
+                               router.successor->log());
     return run_after(kUpgradePollInterval,
-                     [this, &router, tries] { finish_upgrade(router, tries - 1); });
+                     [this, &router, polls] { finish_upgrade(router, polls - 1); });
   }
   router.exit_expected = true;
   router.process->signal(SIGTERM);
@@ -451,8 +454,8 @@
 
 // ---- the timeline ----
 
-void ScenarioRunner::run_after(Micros span, std::function<void()> run) {
-  timeline_.push_back({event_log_.now() + span, next_order_++, std::move(run)});
+void ScenarioRunner::run_after(Micros delay, std::function<void()> call) {
+  timeline_.push_back({event_log_.now() + delay, next_sequence_++, std::move(call)});
   std::push_heap(timeline_.begin(), timeline_.end(), std::greater<>());
 }
 
@@ -483,7 +486,7 @@
     Micros at = a.at + time * a.interval;
     run_after(at, [this, &a] { event_log_.add_label(a.label); });
     std::size_t members = std::max({a.routers.size(), a.caches.size(), std::size_t{1}});
-    if (a.kind == Action::Kind::Link) members = 1;  // all of its pairs at once
+    if (a.kind == Action::Kind::Link) members = 1;  // applies to all pairs at once
     for (std::size_t k = 0; k < members; ++k)
       run_after(at + static_cast<Micros>(k) * a.stagger, [this, &a, k] { apply(a, k); });
   }
@@ -552,7 +555,7 @@
     if (!router.process) return 0;
     return router.from_tills ? router.from_tills->port() : router.process->port();
   };
-  ways.pick = [this](int drawn) { return pick_router(drawn); };
+  ways.pick = [this](int preferred) { return pick_router(preferred); };
   ways.elsewhere = scenario_.retry_elsewhere, ways.marks_retry = scenario_.marks_retries;
   ways.observer = this;
   tills_ = std::make_unique<rig::StormTills>(base_.get(), clock_, plan_, std::move(ways),
@@ -563,7 +566,7 @@
       std::filesystem::copy(store_directory(r.index), store_directory(r.index).string() + ".first",
                             std::filesystem::copy_options::recursive);
   event_log_.start();
-  // What was listed before the load began holds from its begin.
+  // Caches listed before the load count as listed at its start.
   for (std::size_t k = 0; k < caches_.size(); ++k)
     event_log_.record({.kind = EventKind::ListChanged,
                        .cache = static_cast<std::int16_t>(k),
@@ -571,13 +574,13 @@
                        .extra = Event::Active});
   for (const Action& a : scenario_.actions) schedule(a);
   tills_->start();
-  playing_ = true;
+  load_running_ = true;
   last_tick_at_ = clock_.now();
   run_loop_until([] { return false; }, scenario_.duration);
   tills_->stop();
   run_loop_until([&] { return tills_->idle(); },
                  plan_.settings.classes[1].deadline + scenario_.slack + kSecond);
-  playing_ = false, ending_ = true;
+  load_running_ = false, shutting_down_ = true;
   for (Router& r : routers_) {
     resume(r);
     r.exit_expected = true;
@@ -596,7 +599,7 @@
   Micros end = clock_.now() + limit;
   while (!done()) {
     if (clock_.now() >= end) return false;
-    event_base_loop(base_.get(), EVLOOP_ONCE);  // the tick ends it at the latest
+    event_base_loop(base_.get(), EVLOOP_ONCE);  // returns at the next tick at the latest
   }
   return true;
 }
@@ -607,7 +610,7 @@
 
 void ScenarioRunner::tick() {
   Micros now = clock_.now();
-  if (playing_) {
+  if (load_running_) {
     max_lag_ = std::max(max_lag_, now - last_tick_at_ - kTickInterval);
     last_tick_at_ = now;
     while (!timeline_.empty() && timeline_.front().at <= event_log_.now()) {
@@ -643,7 +646,7 @@
     r.process = std::move(r.successor);
     r.probe_socket.reset();
     if (r.process) {
-      r.exit_expected = ending_;
+      r.exit_expected = shutting_down_;
     } else {
       r.serving = false, r.stopped = false, r.unavailable_since = clock_.now();
     }
@@ -651,7 +654,7 @@
   if (r.process && !r.serving && !r.stopped) probe_ready(r);
 }
 
-/// `mn` until it is answered `MN`.
+/// Sends `mn` until the router answers `MN`.
 void ScenarioRunner::probe_ready(Router& r) {
   if (!r.probe_socket) {
     if (r.process->port() == 0) return;
@@ -665,9 +668,9 @@
     return;
   }
   char data[64];
-  ssize_t got = ::recv(r.probe_socket.get(), data, sizeof data, MSG_DONTWAIT);
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-  if (got >= 2 && data[0] == 'M' && data[1] == 'N') {
+  ssize_t received = ::recv(r.probe_socket.get(), data, sizeof data, MSG_DONTWAIT);
+  if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+  if (received >= 2 && data[0] == 'M' && data[1] == 'N') {
     r.serving = true;
     event_log_.record(
         {.kind = EventKind::ProcessReady, .router = static_cast<std::int16_t>(r.index)});
@@ -681,25 +684,25 @@
          clock_.now() - r.unavailable_since < scenario_.failure_detection_time;
 }
 
-/// The front's choice: the router that was drawn where it is thought to live, else any that is.
-int ScenarioRunner::pick_router(int drawn) {
-  if (drawn >= 0 && is_usable(routers_[static_cast<std::size_t>(drawn)])) return drawn;
+/// The load balancer's choice: the preferred router if it seems alive, else a random live one.
+int ScenarioRunner::pick_router(int preferred) {
+  if (preferred >= 0 && is_usable(routers_[static_cast<std::size_t>(preferred)])) return preferred;
   std::vector<int> all;
   for (const Router& r : routers_)
     if (is_usable(r)) all.push_back(r.index);
-  if (all.empty()) return std::max(drawn, 0);
+  if (all.empty()) return std::max(preferred, 0);
   return all[random_() % all.size()];
 }
 
-// ---- what the stand-ins see ----
+// ---- observations of the simulated peers ----
 
-void ScenarioRunner::asked(const rig::StormTills::Try& one) {
+void ScenarioRunner::asked(const rig::StormTills::Try& client_try) {
   event_log_.record({.kind = EventKind::TryStarted,
-                     .router = static_cast<std::int16_t>(one.router),
-                     .id = one.id,
-                     .value = static_cast<std::int64_t>(one.job),
-                     .extra = one.patience,
-                     .flag = one.write});
+                     .router = static_cast<std::int16_t>(client_try.router),
+                     .id = client_try.id,
+                     .value = static_cast<std::int64_t>(client_try.job),
+                     .extra = client_try.patience,
+                     .flag = client_try.write});
 }
 
 void ScenarioRunner::ended(std::uint64_t id, rig::StormTills::End end) {
@@ -734,23 +737,24 @@
 
 void ScenarioRunner::told(std::size_t port, std::optional<std::uint64_t> version) {
   if (port == 0) return;
-  // What a cut link holds back has not been told.
+  // An answer that a cut link holds back does not count as received.
   int router = router_by_discovery_port_.at(port);
   const auto& link = routers_[static_cast<std::size_t>(router)].to_discovery;
-  bool held = link && (link->fault().kind == LinkFault::Kind::Cut ||
-                       link->fault().kind == LinkFault::Kind::Silent);
+  bool held_back = link && (link->fault().kind == LinkFault::Kind::Cut ||
+                            link->fault().kind == LinkFault::Kind::Silent);
   event_log_.record({.kind = EventKind::DiscoveryAnswer,
                      .router = static_cast<std::int16_t>(router),
-                     .value = version && !held ? static_cast<std::int64_t>(*version) : 0});
+                     .value = version && !held_back ? static_cast<std::int64_t>(*version) : 0});
 }
 
-/// PROTOCOL: 6 s after it fell silent, or 2 s after its wait, whichever is later.
+/// Changes that a silent watch misses count as notified 6 s after it fell silent or 2 s after its
+/// wait ends, whichever is later (PROTOCOL).
 void ScenarioRunner::muted(std::size_t port, Micros left) {
   if (port == 0) return;
-  Micros counts = event_log_.now() + std::max(6 * kSecond, left + 2 * kSecond);
+  Micros notified_at = event_log_.now() + std::max(6 * kSecond, left + 2 * kSecond);
   event_log_.record({.kind = EventKind::WatchSilent,
                      .router = static_cast<std::int16_t>(router_by_discovery_port_.at(port)),
-                     .value = static_cast<std::int64_t>(counts)});
+                     .value = static_cast<std::int64_t>(notified_at)});
 }
 
 }  // namespace arrowfork::tier
--- a/src/tier/toml_reader.cpp
+++ b/src/tier/toml_reader.cpp
@@ -18,7 +18,7 @@
 template <class T>
 std::string range_error(T min, T max) {
   std::ostringstream out;
-  out << "not from " << min << " to " << max;
+  out << "must be from " << min << " to " << max;
   return out.str();
 }
 
@@ -84,7 +84,7 @@
   if (auto read = n->value_exact<std::string>())
     value = *read;
   else
-    error_at(name, "not a text");
+    error_at(name, "not a string");
 }
 
 void TableReader::choice(std::string_view name, std::string& value,
@@ -100,7 +100,7 @@
     }
     all += (all.empty() ? "" : ", ") + one;
   }
-  error_at(name, "'" + read + "' is none of " + all);
+  error_at(name, "'" + read + "' is not one of " + all);
 }
 
 void TableReader::flag(std::string_view name, bool& value) {
@@ -109,7 +109,7 @@
   if (auto read = n->value_exact<bool>())
     value = *read;
   else
-    error_at(name, "neither true nor false");
+    error_at(name, "must be true or false");
 }
 
 void TableReader::integer(std::string_view name, int& value, int min, int max) {
@@ -133,7 +133,8 @@
   if (!n) return;
   auto read = n->value_exact<std::string>();
   auto span = read ? parse_duration(*read) : std::nullopt;
-  if (!span) return error_at(name, "no time with a unit, as \"20ms\", \"1.5s\", \"2min\"");
+  if (!span)
+    return error_at(name, "not a duration with a unit, such as \"20ms\", \"1.5s\" or \"2min\"");
   if (*span < min || *span > max)
     return error_at(name, range_error(format_duration(min), format_duration(max)));
   value = *span;
@@ -156,15 +157,15 @@
     good = add_range(part, count, all);
   }
   if (!good)
-    return error_at(
-        name, "no group as \"all\", \"3\" or \"0-2, 5\" of 0 to " + std::to_string(count - 1));
+    return error_at(name, "not a list of indices such as \"all\", \"3\" or \"0-2, 5\", from 0 to " +
+                              std::to_string(count - 1));
   value = std::move(all);
 }
 
 void TableReader::table(std::string_view name, const std::function<void(TableReader&)>& read) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (!n->is_table()) return error_at(name, "no table");
+  if (!n->is_table()) return error_at(name, "not a table");
   TableReader inner(*n->as_table(),
                     path_.empty() ? std::string(name) : path_ + "." + std::string(name), errors_);
   read(inner);
@@ -175,12 +176,12 @@
   const toml::node* n = node(name);
   if (!n) return;
   const toml::array* all = n->as_array();
-  if (!all) return error_at(name, "no array of tables ([[" + std::string(name) + "]])");
+  if (!all) return error_at(name, "not an array of tables ([[" + std::string(name) + "]])");
   std::size_t number = 0;
   for (const toml::node& one : *all) {
     std::string path = std::string(name) + "[" + std::to_string(number++) + "]";
     if (!one.is_table()) {
-      errors_.add(one.source(), path + ": no table");
+      errors_.add(one.source(), path + ": not a table");
       continue;
     }
     TableReader inner(*one.as_table(), path, errors_);
@@ -192,7 +193,7 @@
 void TableReader::json(std::string_view name, std::string& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (!n->is_table()) return error_at(name, "no table");
+  if (!n->is_table()) return error_at(name, "not a table");
   std::ostringstream out;
   out << toml::json_formatter(*n->as_table());
   value = out.str();
@@ -203,7 +204,7 @@
     if (!known_keys_.count(key.str())) {
       std::string all;
       for (const std::string& name : known_keys_) all += (all.empty() ? "" : ", ") + name;
-      errors_.add(one.source(), key_path(key.str()) + "no such name; known here: " + all);
+      errors_.add(one.source(), key_path(key.str()) + "unknown key; known keys: " + all);
     }
 }
 
--- a/tests/tier/link_test.cpp
+++ b/tests/tier/link_test.cpp
@@ -1,4 +1,4 @@
-// Links with faults, between blocking peers on loopback.
+// Links with faults between two sockets on loopback.
 #include "tier/link.hpp"
 
 #include <sys/socket.h>
@@ -17,7 +17,7 @@
         far_(listen_at(*parse_address("127.0.0.1:0"), false, error_)),
         link_(base_.get(), clock_, [this] { return port_of(far_); }) {}
 
-  /// Both ends of one connection across the link.
+  /// Opens a connection through the link and returns both ends.
   std::pair<Fd, Fd> connect_through_link() {
     Fd near = dial();
     Fd far;
@@ -33,7 +33,7 @@
     ::connect(fd.get(), reinterpret_cast<sockaddr*>(&*address), sizeof *address);
     return fd;
   }
-  /// Runs the loop until `done`, or for 10 s: false.
+  /// Runs the loop until `done` returns true; false after `limit`.
   bool run_loop_until(const std::function<bool()>& done, Micros limit = 10 * kSecond) {
     for (Micros end = clock_.now() + limit; clock_.now() < end; ::usleep(200)) {
       event_base_loop(base_.get(), EVLOOP_NONBLOCK);
@@ -41,7 +41,7 @@
     }
     return false;
   }
-  /// What comes at an end: bytes, "" for its end, "reset".
+  /// Returns the bytes received, "" at the end of the stream, "reset", or "nothing" after `limit`.
   std::string receive(const Fd& fd, Micros limit = 10 * kSecond) {
     std::string got = "nothing";
     run_loop_until(
@@ -68,7 +68,7 @@
   tier::Link link_;
 };
 
-TEST_F(LinkTest, CarriesBytesAndEndsBothWays) {
+TEST_F(LinkTest, ForwardsDataAndEndOfStreamInBothDirections) {
   auto [near, far] = connect_through_link();
   send_text(near, "ask");
   EXPECT_EQ(receive(far), "ask");
@@ -76,16 +76,16 @@
   ::shutdown(far.get(), SHUT_WR);
   EXPECT_EQ(receive(near), "answer");
   EXPECT_EQ(receive(near), "");
-  send_text(near, "still");  // half closed
+  send_text(near, "still");  // the other direction is still open
   EXPECT_EQ(receive(far), "still");
 }
 
-TEST_F(LinkTest, DelaysAndSlows) {
+TEST_F(LinkTest, DelaysOrThrottlesData) {
   for (bool slow : {false, true}) {
     LinkFault fault;
     fault.kind = slow ? LinkFault::Kind::Slow : LinkFault::Kind::Delay;
     fault.delay = 200 * kMillisecond;
-    fault.bytes_per_s = 500;  // a hundred bytes take 200 ms
+    fault.bytes_per_s = 500;  // 100 bytes take 200 ms
     link_.set_fault(fault);
     auto [near, far] = connect_through_link();
     Micros from = clock_.now();
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_F(LinkTest, ACutHoldsBackOneWayOrBothAndANewConnectionNeverComesUp) {
+TEST_F(LinkTest, CutHoldsDataBackPerDirectionAndBlocksNewConnections) {
   for (int way = 0; way < 3; ++way) {
     auto [near, far] = connect_through_link();
     LinkFault cut;
@@ -125,7 +125,7 @@
   }
 }
 
-TEST_F(LinkTest, AVanishedMachineIsSilentThenResets) {
+TEST_F(LinkTest, SilentLinkStallsConnectionsAndResetsThemWhenCleared) {
   auto [near, far] = connect_through_link();
   LinkFault fault;
   fault.kind = LinkFault::Kind::Silent;
@@ -136,7 +136,7 @@
   EXPECT_EQ(receive(near), "reset");
 }
 
-TEST_F(LinkTest, ResetsAfterSoManyBytesAndRefuses) {
+TEST_F(LinkTest, ResetsAfterTheGivenBytesAndRefusesNewConnections) {
   LinkFault fault;
   fault.kind = LinkFault::Kind::Reset;
   fault.bytes = 5;
--- a/tests/tier/scenario_test.cpp
+++ b/tests/tier/scenario_test.cpp
@@ -1,4 +1,4 @@
-// Scenario files: what is wrong is told with its place, all of it at once.
+// Scenario files: all errors of a file are reported at once, each with its line and column.
 #include "tier/scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -22,42 +22,43 @@
   std::vector<const char*> expected_messages;
 };
 
-TEST(Scenario, SaysWhatIsWrongAndWhere) {
+TEST(Scenario, ReportsEveryErrorWithItsPlace) {
   const InvalidScenario cases[] = {
-      {"name = 'a'\nlaste = '3s'\n", {"f:2:9: laste: no such name; known here: "}},
-      {"name = 'a'\n[load]\nrate = 'x'\n", {"f:3:8: load.rate: not from 0.1 to 20000"}},
-      {"lasts = 3\n", {"f:1:1: no name", "f:1:9: lasts: no time with a unit"}},
-      {"name = 'a'\nlasts = '20parsecs'", {"f:2:9: lasts: no time with a unit"}},
+      {"name = 'a'\nlaste = '3s'\n", {"f:2:9: laste: unknown key; known keys: "}},
+      {"name = 'a'\n[load]\nrate = 'x'\n", {"f:3:8: load.rate: must be from 0.1 to 20000"}},
+      {"lasts = 3\n", {"f:1:1: missing key name", "f:1:9: lasts: not a duration with a unit"}},
+      {"name = 'a'\nlasts = '20parsecs'", {"f:2:9: lasts: not a duration with a unit"}},
       {"name = 'a'\nlasts = '5s'\n[[do]]\nat = '6s'\nwhat = 'kill'\nrouters = '0'\n",
-       {"f:4:6: do[0].at: not from 0s to 5s"}},
+       {"f:4:6: do[0].at: must be from 0s to 5s"}},
       {"name = 'a'\nlasts = '5s'\n[[do]]\nat = '4s'\nwhat = 'kill'\nrouters = 0\ntimes = 3\n"
        "every = '1s'\n",
-       {"do[0]: goes on past the end"}},
+       {"do[0]: extends beyond the end"}},
       {"name = 'a'\n[[do]]\nat = '1s'\nwhat = 'kill'\nrouters = '2-9'\nwhen = 1\n",
-       {"f:5:11: do[0].routers: no group as \"all\"", "f:6:8: do[0].when: no such name"}},
+       {"f:5:11: do[0].routers: not a list of indices such as \"all\"",
+        "f:6:8: do[0].when: unknown key"}},
       {"name = 'a'\n[[do]]\nat = '1s'\nwhat = 'shoot'\n",
-       {"f:4:8: do[0].what: 'shoot' is none of kill, term, stop", "no routers"}},
+       {"f:4:8: do[0].what: 'shoot' is not one of kill, term, stop", "missing key routers"}},
       {"name = 'a'\n[[do]]\nat = '1s'\nwhat = 'link'\nrouters = 'all'\nway = 'tills > routers'\n"
        "fault = 'delay'\n",
-       {"do[0]: no delay"}},
+       {"do[0]: missing key delay"}},
       {"name = 'a'\n[[do]]\nat = '1s'\nwhat = 'upgrade'\nrouters = 0\n",
        {"an upgrade needs routers.control"}},
       {"name = 'a'\n[[hold]]\nwhat = 'served'\nfrom = '3s'\nto = '2s'\n",
-       {"to is not after from", "neither least nor most"}},
+       {"to must be after from", "needs least or most"}},
       {"name = 'a'\n[[hold]]\nwhat = 'full_service'\nmost = 3\n",
-       {"f:4:8: hold[0].most: no time with a unit"}},
+       {"f:4:8: hold[0].most: not a duration with a unit"}},
       {"name = 'a'\nname = 'b'\n", {"f:2:"}},
       {"name = 'a'\n[load\n", {"f:2:"}},
-      {"name = 'a'\nload = 3\n", {"f:2:8: load: no table"}},
+      {"name = 'a'\nload = 3\n", {"f:2:8: load: not a table"}},
   };
-  for (const InvalidScenario& one : cases) {
-    std::string errors = errors_of(one.text);
-    for (const char* part : one.expected_messages)
-      EXPECT_NE(errors.find(part), errors.npos) << one.text << "said: " << errors;
+  for (const InvalidScenario& test_case : cases) {
+    std::string errors = errors_of(test_case.text);
+    for (const char* part : test_case.expected_messages)
+      EXPECT_NE(errors.find(part), errors.npos) << test_case.text << "errors: " << errors;
   }
 }
 
-TEST(Scenario, ReadsAGoodOne) {
+TEST(Scenario, ReadsValidFile) {
   Scenario s = parse_scenario(
       "name = 'a'\nseed = 7\nlasts = '30s'\n[routers]\ncount = 5\nprogram = 'arrowfork'\n"
       "config = { limits = { sockets = 300 } }\n[[do]]\nat = '1.5s'\nwhat = 'kill'\n"
@@ -77,7 +78,7 @@
   EXPECT_EQ(s.claims.at(0).window, 100 * kMillisecond);
 }
 
-TEST(Scenario, SpansHaveUnits) {
+TEST(Scenario, DurationsNeedUnits) {
   EXPECT_EQ(parse_duration("1.5s"), 1'500'000);
   EXPECT_EQ(parse_duration("2min"), 120'000'000);
   EXPECT_EQ(parse_duration("250us"), 250);
