--- a/src/account/log_line.cpp
+++ b/src/account/log_line.cpp
@@ -12,7 +12,7 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-/// The next word of `text`, which loses it; empty at the end.
+/// Removes and returns the next word of `text`; empty at the end.
 std::string_view next_word(std::string_view& text) {
   std::size_t from = text.find_first_not_of(' ');
   if (from == text.npos) return text = {};
@@ -23,7 +23,7 @@
   return found;
 }
 
-/// `ok/failed/full/given_up/unreached/live`.
+/// Parses `ok/failed/full/given_up/unreached/live`.
 bool parse_counts(std::string_view text, ServerAttempts& at) {
   double* const fields[] = {&at.ok,        &at.failed,      &at.rejected,
                             &at.timed_out, &at.unreachable, &at.live};
@@ -46,40 +46,40 @@
   if (at == text.npos) return;
   text.remove_prefix(at + kLogMark.size());
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
-  std::string_view what = next_word(text);
-  if (what == "figures") {
+  std::string_view type = next_word(text);
+  if (type == "figures") {
     line.kind = LogLine::Kind::Figures;
-    for (std::string_view one = next_word(text); !one.empty(); one = next_word(text)) {
-      std::size_t separator = one.find('=');
+    for (std::string_view entry = next_word(text); !entry.empty(); entry = next_word(text)) {
+      std::size_t separator = entry.find('=');
       double value = 0;
-      if (separator == one.npos) {
+      if (separator == entry.npos) {
         line.kind = LogLine::Kind::Malformed;
         return;
       }
-      if (parse_number(one.substr(separator + 1), value))
-        line.figures.emplace_back(one.substr(0, separator), value);
+      if (parse_number(entry.substr(separator + 1), value))
+        line.figures.emplace_back(entry.substr(0, separator), value);
     }
-  } else if (what == "at") {
+  } else if (type == "at") {
     line.kind = LogLine::Kind::Attempts;
     for (std::string_view id = next_word(text); !id.empty(); id = next_word(text)) {
-      ServerAttempts one;
-      one.id = id;
-      if (!parse_counts(next_word(text), one)) {
+      ServerAttempts entry;
+      entry.id = id;
+      if (!parse_counts(next_word(text), entry)) {
         line.kind = LogLine::Kind::Malformed;
         return;
       }
-      line.attempts.push_back(one);
+      line.attempts.push_back(entry);
     }
-  } else if (what == "states") {
+  } else if (type == "states") {
     line.kind = LogLine::Kind::States;
-    for (std::string_view one = next_word(text); !one.empty(); one = next_word(text)) {
-      std::size_t separator = one.rfind('=');
-      std::string_view state = separator == one.npos ? "" : one.substr(separator + 1);
+    for (std::string_view entry = next_word(text); !entry.empty(); entry = next_word(text)) {
+      std::size_t separator = entry.rfind('=');
+      std::string_view state = separator == entry.npos ? "" : entry.substr(separator + 1);
       if (state != "down" && state != "up") {
         line.kind = LogLine::Kind::Malformed;
         return;
       }
-      line.states.push_back({one.substr(0, separator), state == "down"});
+      line.states.push_back({entry.substr(0, separator), state == "down"});
     }
   }
 }
--- a/src/account/log_summary.cpp
+++ b/src/account/log_summary.cpp
@@ -6,7 +6,7 @@
 namespace wheeldeal::account {
 namespace {
 
-/// What one line may cover: a router that said nothing for longer was not there to say it.
+/// Longest interval, in s, that one line covers; a router silent for longer was not running.
 constexpr double kMaxInterval = 600;
 
 }  // namespace
@@ -54,9 +54,9 @@
 }
 
 void LogSummary::set_router(const std::string& name) {
-  auto [at, fresh] =
+  auto [at, inserted] =
       router_indices_.emplace(name, static_cast<std::uint32_t>(router_indices_.size()));
-  if (fresh) router_states_.emplace_back();
+  if (inserted) router_states_.emplace_back();
   current_router_ = at->second;
 }
 
@@ -93,7 +93,7 @@
     ++malformed_lines_;
     return;
   }
-  // A process that began since the last line has counted from nothing, over its own time.
+  // A process started after the last line counts from zero, over its own uptime.
   bool restarted = !state.has_figures || uptime < state.uptime;
   double from = restarted ? time - uptime : state.to;
   from = std::clamp(from, time - kMaxInterval, time);
@@ -102,19 +102,20 @@
     if (columns()[k].is_counter)
       spread(k, from, time, std::max(0.0, values[k] - before));
     else
-      spread(k, from, time, values[k] * (time - from));  // stood so, as far as is known
+      spread(k, from, time, values[k] * (time - from));  // assumed constant over the interval
   }
   state.has_figures = true;
   state.from = from, state.to = time, state.uptime = uptime;
   state.last = std::move(values);
 }
 
-/// Deals `amount` out over the rows of the time, evenly.
+/// Distributes `amount` evenly over the rows between `from` and `to`.
 void LogSummary::spread(std::size_t column, double from, double to, double amount) {
   if (amount == 0) return;
   auto put = [&](double at, double part) {
-    auto [row, fresh] = rows_.try_emplace(static_cast<std::int64_t>(std::floor(at / row_seconds_)));
-    if (fresh) row->second.assign(columns().size(), 0);
+    auto [row, inserted] =
+        rows_.try_emplace(static_cast<std::int64_t>(std::floor(at / row_seconds_)));
+    if (inserted) row->second.assign(columns().size(), 0);
     row->second[column] += part;
   };
   if (to - from < 1e-9) {
@@ -134,8 +135,8 @@
   row_seconds_ *= 2;
   std::map<std::int64_t, std::vector<double>> wider;
   for (auto& [index, values] : rows_) {
-    auto [row, fresh] = wider.try_emplace(index >> 1, std::move(values));
-    if (!fresh)
+    auto [row, inserted] = wider.try_emplace(index >> 1, std::move(values));
+    if (!inserted)
       for (std::size_t k = 0; k < row->second.size(); ++k) row->second[k] += values[k];
   }
   rows_ = std::move(wider);
@@ -173,14 +174,15 @@
 
 void LogSummary::add_attempts(const LogLine& line) {
   const RouterState& state = router_states_[current_router_];
-  if (!state.has_figures) return;  // nothing tells its time
-  for (const ServerAttempts& one : line.attempts) {
-    std::uint32_t s = server_index(one.id);
+  if (!state.has_figures) return;  // the time of the line is unknown
+  for (const ServerAttempts& entry : line.attempts) {
+    std::uint32_t s = server_index(entry.id);
     if (s >= kMaxServers) continue;
     Sum& sum = cells_[{static_cast<std::int64_t>(std::floor(state.from / cell_seconds_)), s}];
-    sum[0] += one.ok, sum[1] += one.failed, sum[2] += one.rejected;
-    sum[3] += one.timed_out, sum[4] += one.unreachable;
-    if (one.failed + one.timed_out + one.unreachable > 0) add_event(state.from, s, Event::Failure);
+    sum[0] += entry.ok, sum[1] += entry.failed, sum[2] += entry.rejected;
+    sum[3] += entry.timed_out, sum[4] += entry.unreachable;
+    if (entry.failed + entry.timed_out + entry.unreachable > 0)
+      add_event(state.from, s, Event::Failure);
   }
   while (cells_.size() > kMaxCells) widen_cells();
 }
@@ -188,8 +190,8 @@
 void LogSummary::add_states(const LogLine& line) {
   const RouterState& state = router_states_[current_router_];
   if (!state.has_figures) return;
-  for (const ServerState& one : line.states)
-    add_event(state.to, server_index(one.id), one.down ? Event::Down : Event::Up);
+  for (const ServerState& entry : line.states)
+    add_event(state.to, server_index(entry.id), entry.down ? Event::Down : Event::Up);
 }
 
 void LogSummary::add_known_event(double at, const std::string& id, bool down) {
@@ -239,31 +241,34 @@
     end = begin;
     while (end < sorted.size() && sorted[end].server == sorted[begin].server) ++end;
     for (bool down : {true, false}) {
-      std::map<std::uint32_t, double> acted;  // by router: first time
-      double latest = 0, began = 0;
-      bool told = false, known = false;  // an onset that no episode has used yet
+      std::map<std::uint32_t, double> reactions;  // first reaction by router
+      double latest = 0, onset = 0;
+      bool from_known_event = false,
+           has_onset = false;  // has_onset: there is an onset that no episode has used yet
       auto close = [&] {
-        if (acted.empty()) return;
+        if (reactions.empty()) return;
         std::vector<double> times;
-        for (const auto& [router, at] : acted) times.push_back(at);
+        for (const auto& [router, at] : reactions) times.push_back(at);
         std::sort(times.begin(), times.end());
-        double from = known ? began : times.front();
-        all.push_back({server_names_[sorted[begin].server], down, from, told, times.front() - from,
-                       times[(times.size() - 1) / 2] - from, times.back() - from, times.size()});
-        acted.clear();
-        known = told = false;
+        double from = has_onset ? onset : times.front();
+        all.push_back({server_names_[sorted[begin].server], down, from, from_known_event,
+                       times.front() - from, times[(times.size() - 1) / 2] - from,
+                       times.back() - from, times.size()});
+        reactions.clear();
+        has_onset = from_known_event = false;
       };
       for (std::size_t k = begin; k < end; ++k) {
         const Event& e = sorted[k];
-        if (!acted.empty() && e.at - latest > kEpisodeGap) close();
-        if (known && !told && acted.empty() && e.at - began > kEpisodeGap) known = false;
+        if (!reactions.empty() && e.at - latest > kEpisodeGap) close();
+        if (has_onset && !from_known_event && reactions.empty() && e.at - onset > kEpisodeGap)
+          has_onset = false;
         if (e.kind == (down ? Event::TrueDown : Event::TrueUp)) {
           close();
-          began = e.at, told = known = true;
+          onset = e.at, from_known_event = has_onset = true;
         } else if (down && e.kind == Event::Failure) {
-          if (!known) began = e.at, known = true;
+          if (!has_onset) onset = e.at, has_onset = true;
         } else if (e.kind == (down ? Event::Down : Event::Up)) {
-          acted.emplace(e.router, e.at);
+          reactions.emplace(e.router, e.at);
           latest = e.at;
         }
       }
--- a/src/account/plot.hpp
+++ b/src/account/plot.hpp
@@ -1,4 +1,4 @@
-// Plots as SVG within an HTML page, and the little that such pages share.
+// Plots as SVG in an HTML page, and the parts that such pages share.
 #pragma once
 
 #include <ostream>
@@ -9,21 +9,21 @@
 
 namespace wheeldeal::account {
 
-/// Text as HTML has it.
+/// Escapes text for HTML.
 std::string escape_html(std::string_view text);
-/// A few digits.
+/// Formats a number with at most one decimal.
 std::string format_short(double value);
 
 struct PlotLine {
   std::string name;
-  std::vector<double> values;  ///< one for each time
+  std::vector<double> values;  ///< one per time
 };
-/// One plot with its title and legend. `at`: seconds, rising, not empty; `marks`: times and labels
-/// of upright lines.
+/// Writes a plot with title and legend. `at`: seconds, ascending, not empty; `marks`: times and
+/// labels of vertical lines.
 void write_plot(std::string_view title, const std::vector<double>& at,
                 const std::vector<PlotLine>& lines,
                 const std::vector<std::pair<double, std::string>>& marks, std::ostream& out);
-/// The head of a page up to its body's begin.
+/// Writes the page up to the start of its body.
 void write_page_head(std::string_view title, std::ostream& out);
 
 }  // namespace wheeldeal::account
--- a/src/account/report.cpp
+++ b/src/account/report.cpp
@@ -9,8 +9,8 @@
 namespace wheeldeal::account {
 namespace {
 
-constexpr std::size_t kMaxServersListed = 20;  // servers in a table
-constexpr std::size_t kMaxPlotPoints = 1200;   // of a plot: one a pixel
+constexpr std::size_t kMaxServersListed = 20;  // in a table
+constexpr std::size_t kMaxPlotPoints = 1200;   // in a plot: one per pixel
 
 struct Plot {
   const char* title;
@@ -18,18 +18,18 @@
 };
 const std::vector<Plot>& plots() {
   static const std::vector<Plot> all = {
-      {"Requests and refusals, a second",
+      {"Requests and refusals per second",
        {"requests", "refused", "turned_away", "unsendable", "given_up"}},
-      {"Attempts that served nothing, a second",
+      {"Attempts that did not succeed, per second",
        {"attempts_error", "attempts_full", "attempts_timeout", "attempts_unreached",
         "attempts_reset", "attempts_no_room", "attempts_cancelled"}},
-      {"Further attempts, a second", {"retries", "copies", "trials"}},
-      {"Dials, a second",
+      {"Retries, hedges and trials per second", {"retries", "copies", "trials"}},
+      {"Dials per second",
        {"server_dials", "server_dials_failed", "server_dials_no_room",
         "server_connections_closed_idle"}},
       {"Connections to servers", {"server_connections", "server_connections_idle"}},
       {"Fetches from the origin", {"fetches_out", "misses"}},
-      {"Calls for the list, a second",
+      {"Discovery calls per second",
        {"discovery_calls", "discovery_calls_failed", "discovery_answers_bad"}},
   };
   return all;
@@ -41,9 +41,9 @@
   return 0;
 }
 
-/// Neighbouring rows taken together, `most` at most.
-std::vector<LogSummary::Row> merge_rows(std::vector<LogSummary::Row> rows, std::size_t most) {
-  std::size_t step = (rows.size() + most - 1) / std::max<std::size_t>(1, most);
+/// Merges neighbouring rows so that at most `max_rows` are left.
+std::vector<LogSummary::Row> merge_rows(std::vector<LogSummary::Row> rows, std::size_t max_rows) {
+  std::size_t step = (rows.size() + max_rows - 1) / std::max<std::size_t>(1, max_rows);
   if (step <= 1) return rows;
   std::vector<LogSummary::Row> all;
   for (std::size_t k = 0; k < rows.size(); k += step) {
@@ -57,7 +57,7 @@
   return all;
 }
 
-/// A field of CSV (RFC 4180). What a spreadsheet would take for a formula is led by a quote.
+/// Quotes a CSV field (RFC 4180). A quote in front keeps spreadsheets from taking it as a formula.
 std::string csv_field(std::string_view text) {
   std::string safe;
   if (!text.empty() && std::string_view("=+-@\t\r").find(text.front()) != std::string_view::npos)
@@ -83,34 +83,34 @@
 
 }  // namespace
 
-void write_table(const LogSummary& summary, std::ostream& out, std::size_t most_rows) {
-  std::vector<LogSummary::Row> rows = merge_rows(summary.rows(), most_rows);
+void write_table(const LogSummary& summary, std::ostream& out, std::size_t max_rows) {
+  std::vector<LogSummary::Row> rows = merge_rows(summary.rows(), max_rows);
   out << summary.router_count() << " routers, " << summary.line_count() << " lines";
-  if (summary.malformed_lines())
-    out << ", " << summary.malformed_lines() << " of ours that can't be read";
-  if (summary.dropped()) out << ", " << summary.dropped() << " events past the bounds";
+  if (summary.malformed_lines()) out << ", " << summary.malformed_lines() << " malformed";
+  if (summary.dropped()) out << ", " << summary.dropped() << " events dropped beyond the bounds";
   out << '\n';
   if (rows.empty()) return;
-  std::vector<std::size_t> non_empty;  // columns in which anything is
+  std::vector<std::size_t> non_empty;  // columns with any value above 0
   for (std::size_t c = 0; c < columns().size(); ++c)
     if (std::any_of(rows.begin(), rows.end(), [c](const auto& row) { return row.values[c] > 0; }))
       non_empty.push_back(c);
-  auto wide = [](std::size_t c) {
+  auto column_width = [](std::size_t c) {
     return static_cast<int>(
                std::max<std::size_t>(7, std::string_view(columns()[c].heading).size())) +
            1;
   };
   out << "       s";
-  for (std::size_t c : non_empty) out << std::setw(wide(c)) << columns()[c].heading;
+  for (std::size_t c : non_empty) out << std::setw(column_width(c)) << columns()[c].heading;
   out << '\n';
   for (const LogSummary::Row& row : rows) {
     out << std::setw(8) << format_short(row.starts_at - rows.front().starts_at);
-    for (std::size_t c : non_empty) out << std::setw(wide(c)) << format_short(row.values[c]);
+    for (std::size_t c : non_empty)
+      out << std::setw(column_width(c)) << format_short(row.values[c]);
     out << '\n';
   }
   std::vector<LogSummary::ServerSum> servers = summary.servers();
   if (!servers.empty())
-    out << "\nservers, where anything failed: ok failed full given-up unreached\n";
+    out << "\nservers with failed attempts: ok failed full given-up unreached\n";
   for (std::size_t k = 0; k < std::min(kMaxServersListed, servers.size()); ++k) {
     const auto& s = servers[k];
     out << "  " << s.server << ' ' << s.ok << ' ' << s.failed << ' ' << s.rejected << ' '
@@ -150,16 +150,15 @@
 
 void write_html(const LogSummary& summary, std::ostream& out) {
   std::vector<LogSummary::Row> rows = merge_rows(summary.rows(), kMaxPlotPoints);
-  write_page_head("Account of the tier", out);
+  write_page_head("Log summary of the tier", out);
   out << "<p>" << summary.router_count() << " routers, " << summary.line_count() << " lines, "
-      << format_short(summary.row_seconds()) << " s a row";
-  if (summary.malformed_lines())
-    out << "; " << summary.malformed_lines() << " lines could not be read";
-  if (summary.dropped()) out << "; " << summary.dropped() << " events past the bounds";
+      << format_short(summary.row_seconds()) << " s per row";
+  if (summary.malformed_lines()) out << "; " << summary.malformed_lines() << " lines malformed";
+  if (summary.dropped()) out << "; " << summary.dropped() << " events dropped beyond the bounds";
   out << ".</p>\n";
   if (!rows.empty())
     for (const Plot& plot : plots()) write_plot(plot, rows, out);
-  out << "<h2>Servers where anything failed</h2>\n<table><tr><th>server<th>ok<th>failed<th>full"
+  out << "<h2>Servers with failed attempts</h2>\n<table><tr><th>server<th>ok<th>failed<th>full"
          "<th>given up<th>unreached</tr>\n";
   std::vector<LogSummary::ServerSum> servers = summary.servers();
   for (std::size_t k = 0; k < std::min(kMaxServersListed, servers.size()); ++k) {
--- a/src/account/run.cpp
+++ b/src/account/run.cpp
@@ -17,10 +17,10 @@
 namespace fs = std::filesystem;
 
 constexpr std::size_t kReadBytes = 1 << 20;
-constexpr std::size_t kMaxLineBytes = 4 << 20;  // longer is no line of a log
+constexpr std::size_t kMaxLineBytes = 4 << 20;  // longer lines are skipped
 
-/// Calls `each` for every line of the file; one without its end, as of a router that was killed
-/// while it wrote, too. A line over kMostLine is passed over. Throws std::runtime_error.
+/// Calls `each` for every line of the file, including a last line without line end, which a router
+/// killed while writing leaves. Skips lines over kMaxLineBytes. Throws std::runtime_error.
 void read_lines(const fs::path& path, const std::function<void(std::string_view)>& each) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw std::runtime_error(path.string() + ": " + std::strerror(errno));
@@ -53,7 +53,7 @@
         logs.push_back(entry.path());
   }
   std::sort(logs.begin(), logs.end());
-  if (logs.empty()) throw std::runtime_error("no *.log file there");
+  if (logs.empty()) throw std::runtime_error("no *.log file found");
   return logs;
 }
 
--- a/src/account/run.hpp
+++ b/src/account/run.hpp
@@ -1,4 +1,4 @@
-// `wheeldeal account`: reads a folder of logs and writes the account.
+// `wheeldeal account`: reads router logs and writes their summary.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 namespace wheeldeal::account {
 
 struct Options {
-  std::vector<std::string> paths;      ///< logs, and folders whose *.log files are read
+  std::vector<std::string> paths;      ///< log files, and directories whose *.log files are read
   std::string events;                  ///< CSV: seconds, server, down or up
   std::string csv, servers_csv, html;  ///< files to write; empty: none
-  std::size_t rows = 60;               ///< of the table
+  std::size_t rows = 60;               ///< most rows in the table
 };
 
-/// The exit status; what can't be read or written is said on standard error.
+/// Returns the exit status; errors go to standard error.
 int run(const Options& options);
 
 }  // namespace wheeldeal::account
--- a/src/tier/report.cpp
+++ b/src/tier/report.cpp
@@ -106,12 +106,12 @@
       }
     write_plot(title, at, lines, r.marks, out);
   };
-  plot("First tries by what came of them, a second", {"in time", "late", "unserved"});
-  plot("Tries that were not served, a second", {"refused", "failed", "lost", "unreached"});
-  plot("Calls for the list, a second", {"list calls", "calls failed"});
-  plot("Dials at the caches, a second", {"dials"});
-  plot("Fetches at the origin, a second", {"fetches"});
-  plot("Attempts begun, a second", {"begun", "begun cold"});
+  plot("Requests by outcome, per second", {"in time", "late", "unserved"});
+  plot("Tries not served, per second", {"refused", "failed", "lost", "unreached"});
+  plot("Discovery calls per second", {"list calls", "calls failed"});
+  plot("Connections opened to caches, per second", {"dials"});
+  plot("Origin fetches per second", {"fetches"});
+  plot("Attempts received by caches, per second", {"begun", "begun cold"});
   out << "</body></html>\n";
 }
 
--- a/tests/account/account_test.cpp
+++ b/tests/account/account_test.cpp
@@ -1,4 +1,4 @@
-// The account: what lines say, sums over routers and restarts, who acted when, bounds, outputs.
+// Log summary: parsing, sums over routers and restarts, reaction times, bounds and outputs.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -30,7 +30,7 @@
   return sum;
 }
 
-TEST(AccountLines, WhatIsNoWholeLineOfOursIsToldApart) {
+TEST(AccountLines, TellsMalformedLinesFromOtherLines) {
   using Kind = LogLine::Kind;
   const std::pair<const char*, Kind> cases[] = {
       {"arrowfork: figures a=1 b=2.5 worst=s-1:3", Kind::Figures},
@@ -60,20 +60,20 @@
 TEST(LogSummary, SumsCountersOverRoutersRestartsAndUnevenIntervals) {
   LogSummary summary;
   summary.set_router("n0");
-  summary.add_line(
-      figures_line(100, 2, "requests=20 server_connections=4"));  // 10 a second from 98 on
+  summary.add_line(figures_line(100, 2, "requests=20 server_connections=4"));  // 10/s from 98 on
   summary.add_line(figures_line(101, 3, "requests=50 server_connections=8"));
   summary.add_line(
       figures_line(103, 0.5, "requests=7 server_connections=2"));  // a new process at 102.5
   summary.set_router("n1");
   summary.add_line(figures_line(101.5, 1.5, "requests=15 server_connections=6"));
-  summary.add_line(figures_line(101, 1, "requests=10"));  // a clock that went back, no new life
+  summary.add_line(
+      figures_line(101, 1, "requests=10"));  // the uptime goes back, so this is a new process
   auto rows = summary.rows();
   ASSERT_EQ(rows.size(), 5u);
   const double requests[] = {10, 10, 40, 5, 7};  // at 98, 99, 100, 101, 102
   for (std::size_t k = 0; k < rows.size(); ++k) {
     EXPECT_DOUBLE_EQ(rows[k].starts_at, 98 + static_cast<double>(k));
-    if (k == 3) continue;  // n1's second line is its second life, of 10 more in 100 to 101
+    if (k == 3) continue;  // n1's second line is a second process, with 10 more from 100 to 101
     EXPECT_NEAR(value_at(rows[k], "requests"), requests[k] + (k == 2 ? 10 : 0), 1e-9) << k;
   }
   EXPECT_NEAR(total(summary, "requests"), 20 + 30 + 7 + 15 + 10, 1e-9);
@@ -81,9 +81,9 @@
   EXPECT_EQ(summary.router_count(), 2u);
 }
 
-TEST(LogSummary, BrokenLinesAreCountedAndHarmNothing) {
+TEST(LogSummary, MalformedLinesAreCountedAndIgnored) {
   LogSummary summary;
-  summary.add_line("arrowfork: at s-1 1/0/0/0/1/1");  // before anything tells its time
+  summary.add_line("arrowfork: at s-1 1/0/0/0/1/1");  // before any line with a time
   summary.add_line("arrowfork: figures requests=5");  // no time
   summary.add_line(figures_line(-5, 1, "requests=5"));
   summary.add_line("arrowfork: figures time_ms=nan uptime_ms=1");
@@ -94,9 +94,10 @@
   EXPECT_TRUE(summary.servers().empty());
 }
 
-TEST(LogSummary, TellsHowSoonRoutersActed) {
+TEST(LogSummary, ReportsReactionTimesOfRouters) {
   LogSummary summary;
-  // s-1 fails at 20: the routers see it at 21, 22 and 24; back at 30, seen at 31, 33 and 33.
+  // s-1 fails at 20 and the routers react at 21, 22 and 24; it returns at 30, with reactions at 31,
+  // 33 and 33.
   const double down[] = {21, 24, 22}, up[] = {31, 33, 33};
   for (int r = 0; r < 3; ++r) {
     summary.set_router("n" + std::to_string(r));
@@ -107,31 +108,31 @@
       if (t == up[r]) summary.add_line("arrowfork: states s-1=up");
     }
   }
-  auto seen = summary.episodes();
-  ASSERT_EQ(seen.size(), 2u);
-  EXPECT_TRUE(seen[0].down);
-  EXPECT_FALSE(seen[0].onset_known);
-  EXPECT_DOUBLE_EQ(seen[0].onset, 20);  // the line at 21 tells of what came since 20
-  EXPECT_DOUBLE_EQ(seen[0].first, 1);
-  EXPECT_DOUBLE_EQ(seen[0].median, 2);
-  EXPECT_DOUBLE_EQ(seen[0].last, 4);
-  EXPECT_EQ(seen[0].routers, 3u);
-  EXPECT_DOUBLE_EQ(seen[1].onset, 31);  // nothing else tells of a return
+  auto episodes = summary.episodes();
+  ASSERT_EQ(episodes.size(), 2u);
+  EXPECT_TRUE(episodes[0].down);
+  EXPECT_FALSE(episodes[0].onset_known);
+  EXPECT_DOUBLE_EQ(episodes[0].onset, 20);  // the line at 21 covers the time since 20
+  EXPECT_DOUBLE_EQ(episodes[0].first, 1);
+  EXPECT_DOUBLE_EQ(episodes[0].median, 2);
+  EXPECT_DOUBLE_EQ(episodes[0].last, 4);
+  EXPECT_EQ(episodes[0].routers, 3u);
+  EXPECT_DOUBLE_EQ(episodes[1].onset, 31);  // no other line shows a return
   summary.add_known_event(19.5, "s-1", true);
   summary.add_known_event(30, "s-1", false);
-  seen = summary.episodes();
-  ASSERT_EQ(seen.size(), 2u);
-  EXPECT_TRUE(seen[0].onset_known && seen[1].onset_known);
-  EXPECT_DOUBLE_EQ(seen[0].first, 1.5);
-  EXPECT_DOUBLE_EQ(seen[1].first, 1);
-  EXPECT_DOUBLE_EQ(seen[1].last, 3);
+  episodes = summary.episodes();
+  ASSERT_EQ(episodes.size(), 2u);
+  EXPECT_TRUE(episodes[0].onset_known && episodes[1].onset_known);
+  EXPECT_DOUBLE_EQ(episodes[0].first, 1.5);
+  EXPECT_DOUBLE_EQ(episodes[1].first, 1);
+  EXPECT_DOUBLE_EQ(episodes[1].last, 3);
   auto servers = summary.servers();
   ASSERT_EQ(servers.size(), 2u);
   EXPECT_EQ(servers[0].server, "s-1");
   EXPECT_EQ(servers[0].unreachable, 6);
 }
 
-TEST(LogSummary, IsBoundedAndStillSumsRight) {
+TEST(LogSummary, StaysBoundedWithCorrectSums) {
   LogSummary summary;
   summary.set_router("n0");
   const int kSeconds = 3 * static_cast<int>(LogSummary::kMaxRows);
@@ -146,31 +147,31 @@
   EXPECT_EQ(summary.dropped(), kSeconds - LogSummary::kMaxServers);
 }
 
-TEST(AccountRun, ReadsAFolderWritesAllAndSaysWhatItCant) {
+TEST(AccountRun, ReadsDirectoryWritesAllOutputsAndReportsErrors) {
   namespace fs = std::filesystem;
-  fs::path folder = fs::path(testing::TempDir()) / "account_test";
-  fs::remove_all(folder);
-  fs::create_directories(folder);
+  fs::path directory = fs::path(testing::TempDir()) / "account_test";
+  fs::remove_all(directory);
+  fs::create_directories(directory);
   {
-    std::ofstream n0(folder / "n0.log"), other(folder / "notes.txt");
+    std::ofstream n0(directory / "n0.log"), other(directory / "notes.txt");
     n0 << figures_line(2, 2, "requests=8 attempts_ok=6") << "\r\n"
        << "arrowfork: at <s>,1 6/2/0/0/0/0.4\narrowfork: states <s>,1=down\n"
        << figures_line(3, 3, "requests=9").substr(0, 30);  // killed while it wrote
     other << figures_line(2, 2, "requests=1000") << "\n";
-    std::ofstream(folder / "events.csv") << "seconds,server,what\n1,<s>,1,down\n";
-    std::ofstream(folder / "bad.csv") << "1,s-1,gone\n";
+    std::ofstream(directory / "events.csv") << "seconds,server,what\n1,<s>,1,down\n";
+    std::ofstream(directory / "bad.csv") << "1,s-1,gone\n";
   }
   auto text = [&](const char* name) {
     std::stringstream all;
-    all << std::ifstream(folder / name).rdbuf();
+    all << std::ifstream(directory / name).rdbuf();
     return all.str();
   };
   Options options;
-  options.paths = {folder.string()};
-  options.events = (folder / "events.csv").string();
-  options.csv = (folder / "all.csv").string();
-  options.servers_csv = (folder / "servers.csv").string();
-  options.html = (folder / "page.html").string();
+  options.paths = {directory.string()};
+  options.events = (directory / "events.csv").string();
+  options.csv = (directory / "all.csv").string();
+  options.servers_csv = (directory / "servers.csv").string();
+  options.html = (directory / "page.html").string();
   testing::internal::CaptureStdout();
   EXPECT_EQ(run(options), 0);
   std::string table = testing::internal::GetCapturedStdout();
@@ -185,11 +186,12 @@
   EXPECT_EQ(page.find("<s>"), std::string::npos);
   for (const char* outside : {"http", "src=", "<script", "url("})
     EXPECT_EQ(page.find(outside), std::string::npos) << outside;
-  for (auto spoil : {+[](Options&o, const fs::path&f) { o.events = (f / "bad.csv").string(); },
-                     +[](Options&o, const fs::path&f) { o.csv = (f / "no" / "x").string(); },
-                     +[](Options&o, const fs::path&f) { o.paths = {(f / "gone").string()}; }}) {
+  for (auto break_option :
+       {+[](Options&o, const fs::path&f) { o.events = (f / "bad.csv").string(); },
+        +[](Options&o, const fs::path&f) { o.csv = (f / "no" / "x").string(); },
+        +[](Options&o, const fs::path&f) { o.paths = {(f / "gone").string()}; }}) {
     Options bad = options;
-    spoil(bad, folder);
+    break_option(bad, directory);
     testing::internal::CaptureStdout();
     testing::internal::CaptureStderr();
     EXPECT_EQ(run(bad), 1);
