--- a/src/tier/checker.cpp
+++ b/src/tier/checker.cpp
@@ -61,17 +61,17 @@
 
 Checker::RequestCounts Checker::count_requests(Micros from, Micros to,
                                                const std::vector<int>& routers) const {
-  RequestCounts p;
+  RequestCounts counts;
   auto at = std::lower_bound(
       requests_.begin(), requests_.end(), from,
       [](const ClientRequest& request, Micros t) { return request.started_at < t; });
   for (; at != requests_.end() && at->started_at < to; ++at) {
     if (!is_selected(routers, at->router)) continue;
-    ++p.total;
-    p.served += at->served;
-    p.late += at->served && !is_in_time(*at);
+    ++counts.total;
+    counts.served += at->served;
+    counts.late += at->served && !is_in_time(*at);
   }
-  return p;
+  return counts;
 }
 
 Micros Checker::time_to_full_service(Micros mark) const {
@@ -145,16 +145,16 @@
   };
   switch (claim.metric) {
     case Claim::Metric::ServedShare: {
-      RequestCounts p = count_requests(claim.from, claim.to, claim.routers);
-      return share(p.served, p.total);
+      RequestCounts counts = count_requests(claim.from, claim.to, claim.routers);
+      return share(counts.served, counts.total);
     }
     case Claim::Metric::InTimeShare: {
-      RequestCounts p = count_requests(claim.from, claim.to);
-      return share(p.served - p.late, p.total);
+      RequestCounts counts = count_requests(claim.from, claim.to);
+      return share(counts.served - counts.late, counts.total);
     }
     case Claim::Metric::UnservedCount: {
-      RequestCounts p = count_requests(claim.from, claim.to);
-      return p.total - p.served;
+      RequestCounts counts = count_requests(claim.from, claim.to);
+      return counts.total - counts.served;
     }
     case Claim::Metric::FullServiceTime: {
       Micros span = time_to_full_service(claim.from);
--- a/src/tier/drain_scenario.cpp
+++ b/src/tier/drain_scenario.cpp
@@ -14,15 +14,15 @@
 class ScenarioGenerator {
  public:
   ScenarioGenerator(std::uint64_t seed, bool pushed) : random_(seed * 2 + (pushed ? 1 : 0)) {
-    s_.name = "drains with faults around them, seed " + std::to_string(seed) +
-              (pushed ? ", lists pushed" : ", lists asked for");
-    s_.seed = seed;
-    s_.duration = kDuration;
-    s_.program = "arrowfork";
-    s_.router_count = 2 + random_below(7);
-    s_.cache_count = kCaches;
-    s_.first_tries_per_s = 150;
-    s_.pushed_lists = pushed;
+    scenario_.name = "drains with faults around them, seed " + std::to_string(seed) +
+                     (pushed ? ", lists pushed" : ", lists asked for");
+    scenario_.seed = seed;
+    scenario_.duration = kDuration;
+    scenario_.program = "arrowfork";
+    scenario_.router_count = 2 + random_below(7);
+    scenario_.cache_count = kCaches;
+    scenario_.first_tries_per_s = 150;
+    scenario_.pushed_lists = pushed;
   }
 
   Scenario generate() {
@@ -30,7 +30,7 @@
     for (int k = 0; k < faults; ++k) add_fault();
     int drains = 1 + random_below(kMaxDrains);
     for (int cache = 0; cache < drains; ++cache) add_drain(cache);
-    return s_;
+    return scenario_;
   }
 
  private:
@@ -39,38 +39,38 @@
   Micros random_between(Micros from, Micros to) {
     return from + static_cast<Micros>(random_share() * static_cast<double>(to - from));
   }
-  Action& add(Action::Kind verb, Micros at, const char* label) {
+  Action& add_action(Action::Kind kind, Micros at, const char* label) {
     Action a;
-    a.kind = verb, a.at = at, a.label = label;
-    s_.actions.push_back(a);
-    return s_.actions.back();
+    a.kind = kind, a.at = at, a.label = label;
+    scenario_.actions.push_back(a);
+    return scenario_.actions.back();
   }
   std::vector<int> some_routers() {
     std::vector<int> selected;
-    for (int r = 0; r < s_.router_count; ++r)
+    for (int r = 0; r < scenario_.router_count; ++r)
       if (random_share() < 0.6) selected.push_back(r);
-    if (selected.empty()) selected.push_back(random_below(s_.router_count));
+    if (selected.empty()) selected.push_back(random_below(scenario_.router_count));
     return selected;
   }
   std::vector<int> all_routers() {
     std::vector<int> all;
-    for (int r = 0; r < s_.router_count; ++r) all.push_back(r);
+    for (int r = 0; r < scenario_.router_count; ++r) all.push_back(r);
     return all;
   }
 
   void add_discovery_fault(const char* state, Micros at, Micros duration) {
-    Action& a = add(Action::Kind::Discovery, at, state);
+    Action& a = add_action(Action::Kind::Discovery, at, state);
     a.discovery_state = state;
     a.duration = duration;
   }
-  void add_restart(Action::Kind verb, Micros at) {
-    Action& a = add(verb, at, verb == Action::Kind::Kill ? "kill" : "term");
+  void add_restart(Action::Kind kind, Micros at) {
+    Action& a = add_action(kind, at, kind == Action::Kind::Kill ? "kill" : "term");
     a.routers = some_routers();
     a.restart_delay = random_between(0, 8 * kSecond);
     a.initial_list = random_share() < 0.7 ? InitialList::Old : InitialList::Current;
   }
   void add_reloads(Micros at) {
-    Action& a = add(Action::Kind::Reload, at, "another address of discovery");
+    Action& a = add_action(Action::Kind::Reload, at, "another address of discovery");
     a.routers = all_routers();
     a.changes_discovery_address = true;
     a.repetitions = 1 + random_below(6);
@@ -93,14 +93,14 @@
       case 4:
         return add_discovery_fault("slow", at, duration);
       case 5:
-        add(Action::Kind::Discovery, at, "watches silent").discovery_state = "mute";
+        add_action(Action::Kind::Discovery, at, "watches silent").discovery_state = "mute";
         return;
       case 6:
         return add_restart(Action::Kind::Kill, at);
       case 7:
         return add_restart(Action::Kind::Term, at);
       case 8: {
-        Action& a = add(Action::Kind::Stop, at, "stop");
+        Action& a = add_action(Action::Kind::Stop, at, "stop");
         a.routers = some_routers();
         a.duration = random_between(100 * kMillisecond, 3 * kSecond);
         return;
@@ -114,24 +114,24 @@
     static const Action::CacheChange kinds[] = {
         Action::CacheChange::Drain, Action::CacheChange::Drain, Action::CacheChange::DrainAndLeave,
         Action::CacheChange::Silent};
-    const Action& nearby_fault =
-        s_.actions[static_cast<std::size_t>(random_below(static_cast<int>(s_.actions.size())))];
+    const Action& nearby_fault = scenario_.actions[static_cast<std::size_t>(
+        random_below(static_cast<int>(scenario_.actions.size())))];
     Micros at = random_between(nearby_fault.at - kSecond, nearby_fault.at + 4 * kSecond);
     Action::CacheChange kind = kinds[random_below(4)];
     if (kind == Action::CacheChange::Silent) {  // requests pile up in its buffers before it drains
-      Action& hang = add(Action::Kind::Cache, at, "hangs");
+      Action& hang = add_action(Action::Kind::Cache, at, "hangs");
       hang.caches = {cache};
       hang.cache_change = Action::CacheChange::Silent;
       at += 500 * kMillisecond;
       kind = Action::CacheChange::Drain;
     }
-    Action& a = add(Action::Kind::Cache, at,
-                    kind == Action::CacheChange::DrainAndLeave ? "named twice" : "drains");
+    Action& a = add_action(Action::Kind::Cache, at,
+                           kind == Action::CacheChange::DrainAndLeave ? "named twice" : "drains");
     a.caches = {cache};
     a.cache_change = kind;
   }
 
-  Scenario s_;
+  Scenario scenario_;
   std::mt19937_64 random_;
 };
 
--- a/src/tier/scenario.hpp
+++ b/src/tier/scenario.hpp
@@ -116,7 +116,8 @@
   bool warm = true;  ///< caches hold the requested keys from the start
   int origin_slots = 16;
   Micros origin_work_time = 5 * kMillisecond;
-  bool pushed_lists = false;  ///< discovery acts as an agent on each router's machine
+  bool pushed_lists =
+      false;  ///< discovery stands for the agent on each router's machine, which pushes lists
   rig::DiscoveryServer::Capacity discovery_capacity;
   double first_tries_per_s = 100, write_share = 0.1;
   int key_count = 1'000, max_tries = 1;
@@ -126,7 +127,7 @@
   robinseam::Group dedup_group = robinseam::Group::All;  ///< caches that share deduplication
   bool retry_elsewhere = true;                           ///< a retry goes to another router
   Micros failure_detection_time = kSecond;  ///< until the load balancer notices a dead router
-  Micros slack = 250 * kMillisecond;        ///< tolerance for delays of this machine
+  Micros slack = 250 * kMillisecond;  ///< added to the rules' times, for delays of this machine
   Micros max_poll_delay = 10 * kSecond;
   Micros cold_time = 8 * kSecond;
   std::vector<Action> actions;
--- a/src/tier/stage.hpp
+++ b/src/tier/stage.hpp
@@ -42,7 +42,7 @@
     std::unique_ptr<rig::RouterProcess> process, successor;
     std::map<int, std::unique_ptr<Link>> to_caches;
     std::unique_ptr<Link> to_discovery, from_tills;
-    std::string config;  // merge patch from the last action that had one
+    std::string config;  // merge patch for its configuration, set by actions
     int start_count = 0;
     bool serving = false, stopped = false, exit_expected = false;
     Micros unavailable_since = 0;  // when it exited or was stopped
