--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -91,9 +91,11 @@
 
  private:
   void on_call(grpc::CallId, const std::string&, Micros) override {}
-  void on_message(grpc::CallId call, std::string&&) override { session_->message(call, answer_); }
+  void on_message(grpc::CallId call, std::string&&) override {
+    session_->send_message(call, answer_);
+  }
   void on_half_close(grpc::CallId call) override { session_->finish(call, grpc::Status::Ok); }
-  void on_gone(grpc::CallId) override {}
+  void on_aborted(grpc::CallId) override {}
   static void on_write(evutil_socket_t, short, void* self) { static_cast<Echo*>(self)->push(); }
   static void on_read(evutil_socket_t, short, void* self) {
     auto* e = static_cast<Echo*>(self);
--- a/src/extproc/orca.cpp
+++ b/src/extproc/orca.cpp
@@ -97,22 +97,22 @@
 
 }  // namespace
 
-std::optional<std::vector<double>> orca_report_bin(std::string_view value,
-                                                   const std::vector<ReportField>& fields) {
-  if (value.size() > kMaxReport) return std::nullopt;
+std::optional<std::vector<double>> parse_orca_report_bin(std::string_view value,
+                                                         const std::vector<ReportField>& fields) {
+  if (value.size() > kMaxReportBytes) return std::nullopt;
   auto bytes = base64(trimmed(value));
   Report report;
   if (!bytes || !report.ParseFromString(*bytes)) return std::nullopt;
   return mapped(report, fields);
 }
 
-std::optional<std::vector<double>> orca_report(std::string_view value,
-                                               const std::vector<ReportField>& fields) {
-  if (value.size() > kMaxReport) return std::nullopt;
+std::optional<std::vector<double>> parse_orca_report(std::string_view value,
+                                                     const std::vector<ReportField>& fields) {
+  if (value.size() > kMaxReportBytes) return std::nullopt;
   value = trimmed(value);
   std::string_view form = value.substr(0, value.find(' '));
   std::string_view rest = trimmed(value.substr(form.size()));
-  if (form == "BIN") return orca_report_bin(rest, fields);
+  if (form == "BIN") return parse_orca_report_bin(rest, fields);
   Report report;
   if (form == "TEXT") {
     if (!parse_text(rest, report)) return std::nullopt;
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -76,13 +76,13 @@
   Micros forget_at = 0;
 };
 
-Processor::Processor(Core& core, const TimeSource& clock, Output& output, Rules rules,
+Processor::Processor(Core& core, const TimeSource& clock, Output& output, ProcessorOptions options,
                      const std::vector<robinseam::ReportField>& fields,
                      std::function<std::string(const std::string&)> address_of)
     : core_(core),
       clock_(clock),
       output_(output),
-      rules_(std::move(rules)),
+      options_(std::move(options)),
       fields_(fields),
       address_of_(std::move(address_of)) {}
 
@@ -91,8 +91,8 @@
 // ---- streams ----
 
 void Processor::on_open(StreamId stream) {
-  if (streams_.size() >= rules_.streams) {
-    ++counts_.too_many;
+  if (streams_.size() >= options_.max_streams) {
+    ++counts_.rejected_streams;
     output_.finish(stream, grpc::Status::ResourceExhausted, "too many streams");
     return;
   }
@@ -105,7 +105,7 @@
   if (at == streams_.end()) return;
   pb::ProcessingRequest request;
   if (!request.ParseFromString(bytes)) {
-    ++counts_.bad;
+    ++counts_.invalid;
     leave(stream);
     output_.finish(stream, grpc::Status::InvalidArgument, "no ProcessingRequest");
     return;
@@ -114,7 +114,7 @@
   switch (request.request_case()) {
     case pb::ProcessingRequest::kRequestHeaders:
       if (at->second.empty()) return request_headers(stream, request.request_headers());
-      ++counts_.bad;
+      ++counts_.invalid;
       leave(stream);
       return output_.finish(stream, grpc::Status::InvalidArgument, "request_headers twice");
     case pb::ProcessingRequest::kResponseHeaders: {
@@ -150,7 +150,7 @@
   output_.finish(stream, grpc::Status::Ok, "");
 }
 
-void Processor::on_gone(StreamId stream) { leave(stream); }
+void Processor::on_aborted(StreamId stream) { leave(stream); }
 
 /// What a stream that ends proves: before its endpoint was told, that nobody waits; after, that its
 /// caller gave the attempt up, which may have run: nothing of the server, but for the time it took.
@@ -177,39 +177,41 @@
 void Processor::request_headers(StreamId stream, const pb::HttpHeaders& message) {
   Headers headers = read(message);
   Request r;
-  r.key = value_of(headers, rules_.key);
-  if (r.key.empty() || r.key.size() > kMaxKey || !printable(r.key)) return bad(stream, rules_.key);
-  r.id = value_of(headers, rules_.id);
-  if (r.id.empty() || r.id.size() > kMaxName || !printable(r.id)) return bad(stream, rules_.id);
+  r.key = value_of(headers, options_.key_header);
+  if (r.key.empty() || r.key.size() > kMaxKey || !printable(r.key))
+    return bad(stream, options_.key_header);
+  r.id = value_of(headers, options_.id_header);
+  if (r.id.empty() || r.id.size() > kMaxName || !printable(r.id))
+    return bad(stream, options_.id_header);
   std::string method = value_of(headers, ":method");
   r.write = method != "GET" && method != "HEAD" && !method.empty();
-  r.type = value_of(headers, rules_.type);
-  if (r.type.empty()) r.type = r.write ? rules_.write_type : rules_.read_type;
+  r.type = value_of(headers, options_.class_header);
+  if (r.type.empty()) r.type = r.write ? options_.write_class : options_.read_class;
   const robinseam::ClassSettings* type = core_.class_of(r.type);
-  if (!type) return bad(stream, rules_.type);
-  r.tenant = value_of(headers, rules_.tenant);
-  if (r.tenant.empty()) r.tenant = rules_.first_tenant;
-  if (r.tenant.size() > kMaxKey || !printable(r.tenant)) return bad(stream, rules_.tenant);
-  r.idempotency = value_of(headers, rules_.idempotency);
+  if (!type) return bad(stream, options_.class_header);
+  r.tenant = value_of(headers, options_.tenant_header);
+  if (r.tenant.empty()) r.tenant = options_.default_tenant;
+  if (r.tenant.size() > kMaxKey || !printable(r.tenant)) return bad(stream, options_.tenant_header);
+  r.idempotency = value_of(headers, options_.idempotency_header);
   if (r.idempotency.size() > kMaxName || !printable(r.idempotency))
-    return bad(stream, rules_.idempotency);
+    return bad(stream, options_.idempotency_header);
   r.patience = type->deadline;
-  if (std::string text = value_of(headers, rules_.deadline); !text.empty()) {
+  if (std::string text = value_of(headers, options_.deadline_header); !text.empty()) {
     auto ms = whole_number(text);
-    if (!ms) return bad(stream, rules_.deadline);
+    if (!ms) return bad(stream, options_.deadline_header);
     r.patience = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
   }
   std::int64_t count = 1;
-  if (std::string text = value_of(headers, rules_.attempt); !text.empty()) {
+  if (std::string text = value_of(headers, options_.attempt_header); !text.empty()) {
     auto number = whole_number(text);
-    if (!number) return bad(stream, rules_.attempt);
+    if (!number) return bad(stream, options_.attempt_header);
     count = *number;
   }
   r.repeat = count > 1;
   std::string name = r.id;
   if (auto it = exchanges_.find(name); it != exchanges_.end()) {
     Exchange& e = *it->second;
-    if (count <= e.count) return bad(stream, rules_.id);  // the same attempt twice
+    if (count <= e.count) return bad(stream, options_.id_header);  // the same attempt twice
     ++counts_.continued;
     e.count = count;
     streams_[stream] = name;
@@ -238,9 +240,9 @@
     case Core::Taken::Yes:
       break;
     case Core::Taken::BadClass:
-      return bad(stream, rules_.type);
+      return bad(stream, options_.class_header);
     case Core::Taken::IdInUse:
-      return bad(stream, rules_.id);
+      return bad(stream, options_.id_header);
     case Core::Taken::Busy:
       ++counts_.refused;
       streams_.erase(stream);
@@ -260,7 +262,7 @@
                                  const std::string& served_by) {
   auto at = streams_.find(stream);
   if (at->second.empty()) {
-    ++counts_.bad;
+    ++counts_.invalid;
     leave(stream);
     return output_.finish(stream, grpc::Status::InvalidArgument, "response_headers came first");
   }
@@ -275,9 +277,9 @@
   Headers headers = read(message);
   AttemptResult result;
   if (std::string text = value_of(headers, "endpoint-load-metrics"); !text.empty())
-    result.report = orca_report(text, fields_).value_or(std::vector<double>());
+    result.report = parse_orca_report(text, fields_).value_or(std::vector<double>());
   else if (std::string bin = value_of(headers, "endpoint-load-metrics-bin"); !bin.empty())
-    result.report = orca_report_bin(bin, fields_).value_or(std::vector<double>());
+    result.report = parse_orca_report_bin(bin, fields_).value_or(std::vector<double>());
   auto code = whole_number(value_of(headers, ":status"));
   Status status = Status::Spoilt;
   if (!served_by.empty() && served_by != e.address) {
@@ -367,7 +369,7 @@
 }
 
 void Processor::bad(StreamId stream, const std::string& field) {
-  ++counts_.bad;
+  ++counts_.invalid;
   streams_.erase(stream);
   immediate(stream, 400, field);
 }
@@ -388,7 +390,7 @@
 }
 
 void Processor::write(StreamId stream, const Response& response) {
-  output_.message(stream, response.SerializeAsString());
+  output_.send_message(stream, response.SerializeAsString());
 }
 
 void Processor::forget(const std::string& name) {
@@ -398,7 +400,7 @@
   exchanges_.erase(it);
 }
 
-void Processor::sweep() {
+void Processor::expire_replies() {
   Micros now = clock_.now();
   std::erase_if(exchanges_, [&](const auto& entry) {
     bool over = entry.second->last && now >= entry.second->forget_at;
--- a/src/extproc/processor.hpp
+++ b/src/extproc/processor.hpp
@@ -26,17 +26,17 @@
 using StreamId = std::uint64_t;  ///< one call of one connection, never used again
 
 /// Where a request's facts are found, and what holds where a header is absent.
-struct Rules {
-  std::string key = "x-price-key";  ///< must come
-  std::string type = "x-request-class";
-  std::string tenant = "x-tenant";
-  std::string deadline = "x-envoy-expected-rq-timeout-ms";
-  std::string id = "x-request-id";  ///< must come
-  std::string idempotency = "idempotency-key";
-  std::string attempt = "x-envoy-attempt-count";
-  std::string read_type, write_type;  ///< classes of GET and HEAD, and of other methods
-  std::string first_tenant;
-  std::size_t streams = 10'000;  ///< open at once, over all connections
+struct ProcessorOptions {
+  std::string key_header = "x-price-key";  ///< must come
+  std::string class_header = "x-request-class";
+  std::string tenant_header = "x-tenant";
+  std::string deadline_header = "x-envoy-expected-rq-timeout-ms";
+  std::string id_header = "x-request-id";  ///< must come
+  std::string idempotency_header = "idempotency-key";
+  std::string attempt_header = "x-envoy-attempt-count";
+  std::string read_class, write_class;  ///< classes of GET and HEAD, and of other methods
+  std::string default_tenant;
+  std::size_t max_streams = 10'000;  ///< open at once, over all connections
 };
 
 class Processor final : public Carrier {
@@ -45,16 +45,17 @@
   class Output {
    public:
     virtual ~Output() = default;
-    virtual void message(StreamId stream, const std::string& bytes) = 0;
+    virtual void send_message(StreamId stream, const std::string& bytes) = 0;
     virtual void finish(StreamId stream, grpc::Status status, const std::string& text) = 0;
   };
   struct Counts {
-    std::uint64_t streams = 0, too_many = 0, bad = 0, picked = 0, refused = 0, failed = 0;
+    std::uint64_t streams = 0, rejected_streams = 0, invalid = 0, picked = 0, refused = 0,
+                  failed = 0;
     std::uint64_t reported = 0, unreported = 0, other_endpoint = 0, continued = 0;
   };
 
   /// `address_of` gives where a server is reached, empty for one that is not known. All outlive it.
-  Processor(Core& core, const TimeSource& clock, Output& output, Rules rules,
+  Processor(Core& core, const TimeSource& clock, Output& output, ProcessorOptions options,
             const std::vector<robinseam::ReportField>& fields,
             std::function<std::string(const std::string& server)> address_of);
   ~Processor();
@@ -64,9 +65,9 @@
   /// The caller sends no more.
   void on_half_close(StreamId stream);
   /// The stream has ended; nothing more can be sent on it.
-  void on_gone(StreamId stream);
+  void on_aborted(StreamId stream);
   /// Forgets final answers that nobody came for. Call about once a second.
-  void sweep();
+  void expire_replies();
 
   // Carrier
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
@@ -78,9 +79,9 @@
 
   const Counts& counts() const { return counts_; }
   std::size_t open_streams() const { return streams_.size(); }
-  bool has(StreamId stream) const { return streams_.count(stream) > 0; }
+  bool is_open(StreamId stream) const { return streams_.count(stream) > 0; }
   /// Requests of which anything is kept.
-  std::size_t kept() const { return exchanges_.size(); }
+  std::size_t kept_requests() const { return exchanges_.size(); }
 
  private:
   struct Exchange;
@@ -103,7 +104,7 @@
   Core& core_;
   const TimeSource& clock_;
   Output& output_;
-  Rules rules_;
+  ProcessorOptions options_;
   const std::vector<robinseam::ReportField>& fields_;
   std::function<std::string(const std::string&)> address_of_;
   std::unordered_map<StreamId, std::string> streams_;  // the name of its exchange; "" before
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -22,22 +22,22 @@
 constexpr Micros kSweep = kSecond / 4;
 constexpr std::size_t kRead = 64u << 10;
 
-Rules rules_of(const ExtProcSettings& s) {
-  Rules r;
+ProcessorOptions processor_options(const ExtProcSettings& s) {
+  ProcessorOptions o;
   auto take = [](std::string& to, const std::string& from) {
     if (!from.empty()) to = from;
   };
-  take(r.key, s.key_header);
-  take(r.type, s.class_header);
-  take(r.tenant, s.tenant_header);
-  take(r.deadline, s.deadline_header);
-  take(r.id, s.id_header);
-  take(r.idempotency, s.idempotency_header);
-  r.read_type = s.read_class;
-  r.write_type = s.write_class;
-  r.first_tenant = s.default_tenant;
-  r.streams = s.max_streams;
-  return r;
+  take(o.key_header, s.key_header);
+  take(o.class_header, s.class_header);
+  take(o.tenant_header, s.tenant_header);
+  take(o.deadline_header, s.deadline_header);
+  take(o.id_header, s.id_header);
+  take(o.idempotency_header, s.idempotency_header);
+  o.read_class = s.read_class;
+  o.write_class = s.write_class;
+  o.default_tenant = s.default_tenant;
+  o.max_streams = s.max_streams;
+  return o;
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
   void on_call(grpc::CallId call, const std::string& path, Micros) override {
     if (path == kProcess) {
       server_.processor_.on_open(stream(call));
-      if (server_.processor_.has(stream(call))) kinds_[call] = Kind::Process;
+      if (server_.processor_.is_open(stream(call))) kinds_[call] = Kind::Process;
     } else if (path == kCheck || path == kWatch) {
       kinds_[call] = path == kCheck ? Kind::Check : Kind::Watch;
     } else {
@@ -84,12 +84,14 @@
     kinds_.erase(kind);
     server_.processor_.on_half_close(stream(call));
   }
-  void on_gone(grpc::CallId call) override {
+  void on_aborted(grpc::CallId call) override {
     watches_.erase(call);
-    if (kinds_.erase(call)) server_.processor_.on_gone(stream(call));
+    if (kinds_.erase(call)) server_.processor_.on_aborted(stream(call));
   }
 
-  void message(grpc::CallId call, const std::string& bytes) { session_->message(call, bytes); }
+  void send_message(grpc::CallId call, const std::string& bytes) {
+    session_->send_message(call, bytes);
+  }
   void finish(grpc::CallId call, grpc::Status status, const std::string& text) {
     kinds_.erase(call);
     session_->finish(call, status, text);
@@ -108,16 +110,18 @@
       ++count;
       over_ = true;
     };
-    give_up(stalled_since_ && now - stalled_since_ > most.stall_timeout, server_.counts_.stalled);
-    give_up(!session_->greeted() && now - born_ > most.handshake_timeout,
-            server_.counts_.half_open);
+    give_up(stalled_since_ && now - stalled_since_ > most.stall_timeout,
+            server_.counts_.closed_stalled);
+    give_up(!session_->handshake_complete() && now - born_ > most.handshake_timeout,
+            server_.counts_.closed_half_open);
     if (session_->open_calls() == 0) return;
     // A machine that has vanished says nothing, and its calls would stay for good.
     if (!pinged_at_ && now - heard_at_ > most.keepalive_interval) {
       pinged_at_ = now;
       session_->ping();
     }
-    give_up(pinged_at_ && now - pinged_at_ > most.keepalive_timeout, server_.counts_.vanished);
+    give_up(pinged_at_ && now - pinged_at_ > most.keepalive_timeout,
+            server_.counts_.closed_unresponsive);
   }
   bool idle(Micros now, Micros most) const {
     return session_->open_calls() == 0 && now - since_ > most;
@@ -132,7 +136,7 @@
       }
       ssize_t put = ::send(fd_.get(), out_.data(), out_.size(), MSG_NOSIGNAL);
       if (put < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-        session_->note_unsent(out_.size());
+        session_->set_unsent_bytes(out_.size());
         if (!stalled_since_) stalled_since_ = server_.clock_.now();
         event_add(write_.get(), nullptr);
         return true;
@@ -140,7 +144,7 @@
       if (put < 0) return false;
       stalled_since_ = 0;
       out_.erase(0, static_cast<std::size_t>(put));
-      session_->note_unsent(out_.size());
+      session_->set_unsent_bytes(out_.size());
     }
     return !over_ && !ending_ && !session_->drained();
   }
@@ -156,7 +160,7 @@
   void tell_health(grpc::CallId call, bool serving) {
     Health answer;
     answer.set_status(serving ? Health::SERVING : Health::NOT_SERVING);
-    session_->message(call, answer.SerializeAsString());
+    session_->send_message(call, answer.SerializeAsString());
   }
   void health(grpc::CallId call, bool watch, const std::string& bytes) {
     ::grpc::health::v1::HealthCheckRequest request;
@@ -173,7 +177,7 @@
     } else if (!known) {
       Health answer;
       answer.set_status(Health::SERVICE_UNKNOWN);
-      session_->message(call, answer.SerializeAsString());
+      session_->send_message(call, answer.SerializeAsString());
     }
   }
 
@@ -220,8 +224,8 @@
       clock_(clock),
       core_(core),
       settings_(settings),
-      processor_(core, clock, *this, rules_of(settings), fields, std::move(address_of)) {
-  limits_.streams = static_cast<std::uint32_t>(settings.max_streams_per_connection);
+      processor_(core, clock, *this, processor_options(settings), fields, std::move(address_of)) {
+  limits_.max_streams = static_cast<std::uint32_t>(settings.max_streams_per_connection);
   limits_.header_bytes = static_cast<std::uint32_t>(settings.header_bytes);
   limits_.resets_per_s = static_cast<std::uint32_t>(settings.resets_per_s);
   limits_.pings_per_s = static_cast<std::uint32_t>(settings.pings_per_s);
@@ -251,7 +255,7 @@
   Fd fd(::accept4(s->listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!fd) return;
   if (s->connections_.size() >= s->settings_.max_connections) {
-    ++s->counts_.turned_away;
+    ++s->counts_.rejected;
     return;
   }
   int on = 1;
@@ -265,13 +269,13 @@
 
 void Server::on_sweep(evutil_socket_t, short, void* self) {
   auto* s = static_cast<Server*>(self);
-  s->processor_.sweep();
+  s->processor_.expire_replies();
   Micros now = s->clock_.now();
   bool serving = s->serving();
   for (auto& [number, c] : s->connections_) {
     c->sweep(serving);
     if (c->idle(now, s->settings_.idle_timeout)) {
-      ++s->counts_.idle;
+      ++s->counts_.closed_idle;
       c->go_away();
     }
     s->touch(*c);
@@ -284,22 +288,22 @@
   std::vector<std::pair<std::string, std::uint64_t>> all = {
       {"connections_open", connections_.size()},
       {"connections", counts_.connections},
-      {"connections_turned_away", counts_.turned_away},
-      {"connections_idle", counts_.idle},
-      {"connections_half_open", counts_.half_open},
-      {"connections_stalled", counts_.stalled},
-      {"connections_vanished", counts_.vanished},
+      {"connections_turned_away", counts_.rejected},
+      {"connections_idle", counts_.closed_idle},
+      {"connections_half_open", counts_.closed_half_open},
+      {"connections_stalled", counts_.closed_stalled},
+      {"connections_vanished", counts_.closed_unresponsive},
       {"slow_readers", s.slow_readers},
       {"rapid_resets", s.rapid_resets},
       {"ping_floods", s.ping_floods},
-      {"garbage", s.garbage},
+      {"garbage", s.protocol_errors},
       {"headers_too_long", s.headers_too_long},
-      {"messages_too_long", s.message_too_long},
+      {"messages_too_long", s.messages_too_long},
       {"streams_open", processor_.open_streams()},
       {"streams", p.streams},
-      {"streams_too_many", p.too_many},
-      {"requests_kept", processor_.kept()},
-      {"bad", p.bad},
+      {"streams_too_many", p.rejected_streams},
+      {"requests_kept", processor_.kept_requests()},
+      {"bad", p.invalid},
       {"picked", p.picked},
       {"refused", p.refused},
       {"failed", p.failed},
@@ -333,9 +337,9 @@
   return at->second.get();
 }
 
-void Server::message(StreamId stream, const std::string& bytes) {
+void Server::send_message(StreamId stream, const std::string& bytes) {
   if (Connection* c = connection_of(stream))
-    c->message(static_cast<grpc::CallId>(stream & 0xffffffff), bytes);
+    c->send_message(static_cast<grpc::CallId>(stream & 0xffffffff), bytes);
 }
 
 void Server::finish(StreamId stream, grpc::Status status, const std::string& text) {
--- a/src/extproc/server.hpp
+++ b/src/extproc/server.hpp
@@ -30,8 +30,9 @@
   std::uint16_t port() const { return port_; }
   const Processor& processor() const { return processor_; }
   struct Counts {
-    std::uint64_t connections = 0, turned_away = 0, idle = 0;
-    std::uint64_t half_open = 0, stalled = 0, vanished = 0;  ///< closed for it
+    std::uint64_t connections = 0, rejected = 0, closed_idle = 0;
+    std::uint64_t closed_half_open = 0, closed_stalled = 0,
+                  closed_unresponsive = 0;  ///< closed for it
   };
   const Counts& counts() const { return counts_; }
   const grpc::ServerSession::Counts& session_counts() const { return session_counts_; }
@@ -40,7 +41,7 @@
   class Connection;
   static void on_accept(evutil_socket_t, short, void* self);
   static void on_sweep(evutil_socket_t, short, void* self);
-  void message(StreamId stream, const std::string& bytes) override;
+  void send_message(StreamId stream, const std::string& bytes) override;
   void finish(StreamId stream, grpc::Status status, const std::string& text) override;
   Connection* connection_of(StreamId stream);
   void touch(Connection& connection);
--- a/src/grpc/server_session.cpp
+++ b/src/grpc/server_session.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-std::optional<Micros> timeout_of(std::string_view text) {
+std::optional<Micros> parse_timeout(std::string_view text) {
   // At most eight digits and a unit.
   if (text.size() < 2 || text.size() > 9) return std::nullopt;
   std::int64_t value = 0;
@@ -126,7 +126,7 @@
     } else if (key == "grpc-encoding") {
       call.compressed = text != "identity";
     } else if (key == "grpc-timeout") {
-      auto timeout = timeout_of(text);
+      auto timeout = parse_timeout(text);
       call.bad |= !timeout;
       call.timeout = timeout.value_or(0);
     }
@@ -137,7 +137,7 @@
     ServerSession& s = of(self);
     if (frame->hd.type == NGHTTP2_PING || frame->hd.type == NGHTTP2_SETTINGS) {
       s.pings_ += !(frame->hd.flags & NGHTTP2_FLAG_ACK);
-      s.greeted_ |= frame->hd.type == NGHTTP2_SETTINGS;
+      s.handshake_complete_ |= frame->hd.type == NGHTTP2_SETTINGS;
       if (s.pings_ > s.limits_.pings_per_s) {
         ++s.counts_.ping_floods;
         s.broken_ = true;
@@ -233,7 +233,7 @@
   nghttp2_session_callbacks_set_on_stream_close_callback(made, Callbacks::on_close);
   if (nghttp2_session_server_new2(&session_, made, this, option) != 0) throw std::bad_alloc();
   nghttp2_settings_entry settings[] = {
-      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits_.streams},
+      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits_.max_streams},
       {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, limits_.stream_window},
       {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, limits_.header_bytes}};
   nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings, std::size(settings));
@@ -292,9 +292,9 @@
     std::size_t size = 0;
     for (std::size_t k = 1; k < kPrefix; ++k) size = size << 8 | static_cast<unsigned char>(in[k]);
     if (in[0] != 0 || size > limits_.message_bytes) {
-      counts_.message_too_long += in[0] == 0;
-      handler_.on_gone(id);
-      ++counts_.gone;
+      counts_.messages_too_long += in[0] == 0;
+      handler_.on_aborted(id);
+      ++counts_.aborted;
       finish_unseen(id, in[0] ? Status::Unimplemented : Status::ResourceExhausted,
                     in[0] ? "compressed message" : "message too long");
       return;
@@ -320,7 +320,7 @@
   }
 }
 
-void ServerSession::message(CallId id, std::string_view bytes) {
+void ServerSession::send_message(CallId id, std::string_view bytes) {
   auto at = calls_.find(id);
   if (at == calls_.end() || at->second->done) return;
   std::string text = prefixed(bytes);
@@ -344,8 +344,8 @@
   calls_.erase(at);
   held_ -= call->out.size() - call->out_at;
   if (!call->begun || call->done) return;
-  ++counts_.gone;
-  handler_.on_gone(id);
+  ++counts_.aborted;
+  handler_.on_aborted(id);
 }
 
 bool ServerSession::recv(std::string_view bytes) {
@@ -357,7 +357,7 @@
   ssize_t taken = nghttp2_session_mem_recv(
       session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   if (taken < 0) {
-    ++counts_.garbage;
+    ++counts_.protocol_errors;
     broken_ = true;
   } else if (broken_) {  // a limit: RFC 9113, 7
     nghttp2_session_terminate_session(session_, NGHTTP2_ENHANCE_YOUR_CALM);
--- a/src/grpc/server_session.hpp
+++ b/src/grpc/server_session.hpp
@@ -49,12 +49,12 @@
     virtual void on_half_close(CallId call) = 0;
     /// The call is over without finish(): reset, refused for its form, or its connection has ended.
     /// Nothing more may be sent for it.
-    virtual void on_gone(CallId call) = 0;
+    virtual void on_aborted(CallId call) = 0;
   };
 
   /// What one connection may take. Each is enforced, and counted where it is.
   struct Limits {
-    std::uint32_t streams = 1'000;               ///< calls open at once; more are refused unseen
+    std::uint32_t max_streams = 1'000;           ///< calls open at once; more are refused unseen
     std::uint32_t header_bytes = 16u << 10;      ///< of one call's headers, decoded
     std::size_t message_bytes = 64u << 10;       ///< of one message
     std::uint32_t stream_window = 128u << 10;    ///< bytes a caller may send ahead on a call
@@ -67,19 +67,19 @@
   };
 
   struct Counts {
-    std::uint64_t calls = 0, finished = 0, gone = 0;
-    std::uint64_t not_grpc = 0;          ///< requests that are no gRPC call
-    std::uint64_t headers_too_long = 0;  ///< calls reset for it
-    std::uint64_t message_too_long = 0;  ///< calls ended with ResourceExhausted
-    std::uint64_t rapid_resets = 0;      ///< connections sent away for it
-    std::uint64_t ping_floods = 0;       ///< connections sent away for it
-    std::uint64_t garbage = 0;           ///< connections that ended in a protocol error
-    std::uint64_t slow_readers = 0;      ///< connections ended with too much to send
+    std::uint64_t calls = 0, finished = 0, aborted = 0;
+    std::uint64_t not_grpc = 0;           ///< requests that are no gRPC call
+    std::uint64_t headers_too_long = 0;   ///< calls reset for it
+    std::uint64_t messages_too_long = 0;  ///< calls ended with ResourceExhausted
+    std::uint64_t rapid_resets = 0;       ///< connections sent away for it
+    std::uint64_t ping_floods = 0;        ///< connections sent away for it
+    std::uint64_t protocol_errors = 0;    ///< connections that ended in a protocol error
+    std::uint64_t slow_readers = 0;       ///< connections ended with too much to send
   };
 
   /// `counts` may be shared by sessions and must outlive them, as handler and clock.
   ServerSession(const TimeSource& clock, Handler& handler, const Limits& limits, Counts& counts);
-  /// Tells on_gone for each call that is open.
+  /// Tells on_aborted for each call that is open.
   ~ServerSession();
   ServerSession(const ServerSession&) = delete;
   ServerSession& operator=(const ServerSession&) = delete;
@@ -91,10 +91,10 @@
   [[nodiscard]] bool send(std::string& out);
   /// Tells how much of what send() gave has not left yet; a peer that reads too slowly is given up
   /// by the next send().
-  void note_unsent(std::size_t bytes) { unsent_ = bytes; }
+  void set_unsent_bytes(std::size_t bytes) { unsent_ = bytes; }
 
   /// Sends a message of an open call. Ignored for one that is not.
-  void message(CallId call, std::string_view bytes);
+  void send_message(CallId call, std::string_view bytes);
   /// Ends an open call. Ignored for one that is not.
   void finish(CallId call, Status status, const std::string& text = {});
   /// Takes no new calls and lets those that are open finish (GOAWAY).
@@ -102,7 +102,7 @@
   /// Asks the peer for a sign of life (PING); what it sends next is one.
   void ping();
   /// The peer has spoken HTTP/2: its preface and first SETTINGS have come.
-  bool greeted() const { return greeted_; }
+  bool handshake_complete() const { return handshake_complete_; }
   /// True once go_away() was called and nothing is open.
   bool drained() const;
   std::size_t open_calls() const { return calls_.size(); }
@@ -125,10 +125,10 @@
   std::size_t held_ = 0, unsent_ = 0;  // bytes of messages that nghttp2 has not taken; not written
   Micros second_ = 0;                  // the one that the two counts are of
   std::uint32_t resets_ = 0, pings_ = 0;
-  bool leaving_ = false, broken_ = false, greeted_ = false;
+  bool leaving_ = false, broken_ = false, handshake_complete_ = false;
 };
 
 /// The figure of a grpc-timeout header; nothing where it is none. At most some 3,170 years come.
-std::optional<Micros> timeout_of(std::string_view text);
+std::optional<Micros> parse_timeout(std::string_view text);
 
 }  // namespace arrowfork::grpc
--- a/tests/extproc/orca_test.cpp
+++ b/tests/extproc/orca_test.cpp
@@ -49,35 +49,36 @@
   (*report.mutable_named_metrics())["unheard_of"] = 3;
   std::string bytes = report.SerializeAsString();
   const std::string due = "0.5 7.5 0.9 120";
-  EXPECT_EQ(seen(orca_report("BIN " + base64(bytes), kFields)), due);
-  EXPECT_EQ(seen(orca_report_bin(base64(bytes), kFields)), due);
+  EXPECT_EQ(seen(parse_orca_report("BIN " + base64(bytes), kFields)), due);
+  EXPECT_EQ(seen(parse_orca_report_bin(base64(bytes), kFields)), due);
+  EXPECT_EQ(seen(parse_orca_report(
+                "TEXT application_utilization=0.5, cpu_utilization=0.25,rps_fractional=120,"
+                "named_metrics.mean_ms=7.5, named_metrics.x0=0.9,named_metrics.other=3",
+                kFields)),
+            due);
   EXPECT_EQ(
-      seen(orca_report("TEXT application_utilization=0.5, cpu_utilization=0.25,rps_fractional=120,"
-                       "named_metrics.mean_ms=7.5, named_metrics.x0=0.9,named_metrics.other=3",
-                       kFields)),
-      due);
-  EXPECT_EQ(seen(orca_report(R"(JSON {"application_utilization":0.5,"cpuUtilization":0.25,"new":[1],
+      seen(parse_orca_report(R"(JSON {"application_utilization":0.5,"cpuUtilization":0.25,"new":[1],
       "rps_fractional":120,"named_metrics":{"mean_ms":7.5,"x0":0.9,"other":3}})",
                              kFields)),
-            due);
+      due);
 }
 
 TEST(Orca, CpuStandsInAndWhatIsNotToldIsNotMadeUp) {
-  EXPECT_EQ(seen(orca_report("TEXT cpu_utilization=0.25", kFields)), "0.25 - - -");
-  EXPECT_EQ(seen(orca_report("JSON {}", kFields)), "- - - -");
+  EXPECT_EQ(seen(parse_orca_report("TEXT cpu_utilization=0.25", kFields)), "0.25 - - -");
+  EXPECT_EQ(seen(parse_orca_report("JSON {}", kFields)), "- - - -");
 }
 
 TEST(Orca, FiguresThatAreNoLoadAreLeftOut) {
-  EXPECT_EQ(seen(orca_report("TEXT cpu_utilization=-1, rps=1e9", kFields)), "- - - -");
-  EXPECT_EQ(seen(orca_report("TEXT cpu_utilization=nan", kFields)), "- - - -");
-  EXPECT_EQ(seen(orca_report("TEXT cpu_utilization=3", kFields)), "- - - -");
+  EXPECT_EQ(seen(parse_orca_report("TEXT cpu_utilization=-1, rps=1e9", kFields)), "- - - -");
+  EXPECT_EQ(seen(parse_orca_report("TEXT cpu_utilization=nan", kFields)), "- - - -");
+  EXPECT_EQ(seen(parse_orca_report("TEXT cpu_utilization=3", kFields)), "- - - -");
 }
 
 TEST(Orca, WhatIsNoReportIsNone) {
   for (const char* bad : {"", "JSON", "JSON {", "JSON []", "TEXT a", "TEXT cpu_utilization=x",
                           "BIN *", "BIN /////w==", "XML <a/>", "cpu_utilization=0.5"})
-    EXPECT_EQ(seen(orca_report(bad, kFields)), "none") << bad;
-  EXPECT_EQ(seen(orca_report("TEXT cpu_utilization=0.5" + std::string(5000, ' '), kFields)),
+    EXPECT_EQ(seen(parse_orca_report(bad, kFields)), "none") << bad;
+  EXPECT_EQ(seen(parse_orca_report("TEXT cpu_utilization=0.5" + std::string(5000, ' '), kFields)),
             "none");
 }
 
--- a/tests/extproc/processor_test.cpp
+++ b/tests/extproc/processor_test.cpp
@@ -34,18 +34,18 @@
     core_ = std::make_unique<Core>(settings_, 7, *this, *this, max_open, 1'000'000);
     core_->start(robinseam::test::fleet(servers));
     core_->turn();
-    Rules rules;
-    rules.read_type = "read";
-    rules.write_type = "put";
-    rules.streams = 2000;
+    ProcessorOptions options;
+    options.read_class = "read";
+    options.write_class = "put";
+    options.max_streams = 2000;
     processor_ =
-        std::make_unique<Processor>(*core_, *this, *this, rules, settings_.report_fields,
+        std::make_unique<Processor>(*core_, *this, *this, options, settings_.report_fields,
                                     [](const std::string& server) { return "at-" + server; });
   }
   Micros now() const override { return now_; }
   void watch() override {}
   void fetch() override {}
-  void message(StreamId stream, const std::string& bytes) override {
+  void send_message(StreamId stream, const std::string& bytes) override {
     pb::ProcessingResponse r;
     EXPECT_TRUE(r.ParseFromString(bytes));
     answers_[stream].push_back(r);
@@ -107,7 +107,7 @@
     }
     now_ = end;
     core_->turn();
-    processor_->sweep();
+    processor_->expire_replies();
   }
 
   Micros now_ = 1000 * kSecond;
@@ -126,7 +126,7 @@
   report(s, {{":status", "200"}, {"endpoint-load-metrics", "TEXT cpu_utilization=0.4"}});
   EXPECT_TRUE(answers_[s].back().has_response_headers());
   EXPECT_EQ(core_->open_requests(), 0u);
-  EXPECT_EQ(processor_->kept(), 0u);
+  EXPECT_EQ(processor_->kept_requests(), 0u);
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Ok)], 1u);
   processor_->on_half_close(s);
   EXPECT_EQ(finished_[s], "0 ");
@@ -162,7 +162,7 @@
   EXPECT_GT(std::stoi(told["retry-after-ms"]), 0);
   EXPECT_GT(std::stoi(told["retry-after"]), 0);
   pass(kSecond);
-  EXPECT_EQ(processor_->kept(), 0u);
+  EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
 TEST_F(ProcessorTest, AFurtherAttemptContinuesTheRequestElsewhere) {
@@ -189,7 +189,7 @@
   // With a key the servers drop the repeat.
   put = {{":method", "PUT"}, {"idempotency-key", "k"}};
   StreamId third = ask("w2", put);
-  processor_->on_gone(third);  // connection loss after the choice
+  processor_->on_aborted(third);  // connection loss after the choice
   core_->turn();
   put.emplace_back("x-envoy-attempt-count", "2");
   StreamId fourth = ask("w2", put);
@@ -226,7 +226,7 @@
   ask("r1");
   pass(2 * kSecond);
   EXPECT_EQ(core_->open_requests(), 0u);
-  EXPECT_EQ(processor_->kept(), 0u);
+  EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
 TEST_F(ProcessorTest, ADeadlineThatIsOverIsAnsweredAtOnce) {
@@ -275,20 +275,20 @@
     std::string id = "a" + std::to_string(k);
     if (k % 5 == 0) {
       processor_->on_open(++last_stream_);
-      processor_->on_gone(last_stream_);
+      processor_->on_aborted(last_stream_);
       continue;
     }
     StreamId s = ask(id, {}, "key" + std::to_string(k % 50));
     if (k % 5 == 1) processor_->on_half_close(s);
     if (k % 5 == 3) report(s, {{":status", k % 2 ? "200" : "500"}});
-    if (k % 5 != 1) processor_->on_gone(s);
+    if (k % 5 != 1) processor_->on_aborted(s);
     core_->turn();
     if (k % 10 == 0) pass(20 * kMillisecond);
   }
   EXPECT_EQ(processor_->open_streams(), 0u);
   pass(3 * kSecond);
   EXPECT_EQ(core_->open_requests(), 0u);
-  EXPECT_EQ(processor_->kept(), 0u);
+  EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
 // Protects against: what a caller does laid at the servers' door. One that takes choices and goes
@@ -308,7 +308,7 @@
   for (int k = 0; k < 400; ++k) {
     StreamId s = ask("gone" + std::to_string(k), {}, "key" + std::to_string(k));
     pass(20 * kMillisecond);
-    processor_->on_gone(s);
+    processor_->on_aborted(s);
     core_->turn();
   }
   pass(2 * kSecond);
--- a/tests/extproc/seam_test.cpp
+++ b/tests/extproc/seam_test.cpp
@@ -122,9 +122,9 @@
 /// The same by way of a calling proxy: it picks, calls the server, reports, and asks again.
 class Called final : public World, Processor::Output {
  public:
-  Called(const robinseam::Settings& settings, Rules rules)
+  Called(const robinseam::Settings& settings, ProcessorOptions options)
       : World(settings),
-        processor(core, time, *this, std::move(rules), settings.report_fields,
+        processor(core, time, *this, std::move(options), settings.report_fields,
                   [](const std::string& server) { return server; }) {}
   void ask(int number) override { open(number, 1); }
 
@@ -157,7 +157,7 @@
     if (write) put(headers, "idempotency-key", "i" + std::to_string(number));
     processor.on_message(stream, request.SerializeAsString());
   }
-  void message(StreamId id, const std::string& bytes) override {
+  void send_message(StreamId id, const std::string& bytes) override {
     pb::ProcessingResponse r;
     ASSERT_TRUE(r.ParseFromString(bytes));
     if (r.has_immediate_response()) ++answered;
@@ -171,7 +171,7 @@
     time.after(fate.after, [this, id, s, fate] {
       if (fate.status == Status::Reset) {
         streams_.erase(id);
-        processor.on_gone(id);
+        processor.on_aborted(id);
       } else {
         pb::ProcessingRequest report;
         auto& headers = *report.mutable_response_headers();
@@ -205,14 +205,14 @@
   settings.classes[1].key_ttl = 10 * kSecond;
   Alone alone(settings);
   alone.play();
-  Rules rules;
-  rules.read_type = "read", rules.write_type = "put", rules.first_tenant = "acme";
-  Called called(settings, rules);
+  ProcessorOptions options;
+  options.read_class = "read", options.write_class = "put", options.default_tenant = "acme";
+  Called called(settings, options);
   called.play();
   EXPECT_EQ(called.answered, kRequests);
   EXPECT_GT(called.processor.counts().continued, 100u) << "further attempts are among them";
   EXPECT_EQ(called.core.open_requests(), 0u);
-  EXPECT_EQ(called.processor.kept(), 0u);
+  EXPECT_EQ(called.processor.kept_requests(), 0u);
   const std::string &own = alone.lines.lines, &theirs = called.lines.lines;
   auto [at, other] = std::mismatch(own.begin(), own.end(), theirs.begin(), theirs.end());
   std::size_t from = static_cast<std::size_t>(at - own.begin());
--- a/tests/extproc/server_test.cpp
+++ b/tests/extproc/server_test.cpp
@@ -66,7 +66,7 @@
       h->set_key(name);
       h->set_raw_value(value);
     }
-    caller_.message(call, request.SerializeAsString());
+    caller_.send_message(call, request.SerializeAsString());
     return call;
   }
   pb::ProcessingResponse answer(std::int32_t call, std::size_t number = 0) {
@@ -103,7 +103,7 @@
   auto* h = report.mutable_response_headers()->mutable_headers()->add_headers();
   h->set_key(":status");
   h->set_raw_value("200");
-  caller_.message(call, report.SerializeAsString());
+  caller_.send_message(call, report.SerializeAsString());
   EXPECT_TRUE(answer(call, 1).has_response_headers());
   caller_.half_close(call);
   EXPECT_TRUE(until([&] { return caller_.seen[call].closed; }));
@@ -150,14 +150,14 @@
   ::grpc::health::v1::HealthCheckRequest request;
   ::grpc::health::v1::HealthCheckResponse response;
   auto check = caller_.call("/grpc.health.v1.Health/Check");
-  caller_.message(check, request.SerializeAsString());
+  caller_.send_message(check, request.SerializeAsString());
   EXPECT_TRUE(until([&] { return caller_.seen[check].closed; }));
   ASSERT_EQ(caller_.messages(check).size(), 1u);
   response.ParseFromString(caller_.messages(check)[0]);
   EXPECT_EQ(response.status(), ::grpc::health::v1::HealthCheckResponse::SERVING);
   request.set_service("nobody");
   auto unknown = caller_.call("/grpc.health.v1.Health/Check");
-  caller_.message(unknown, request.SerializeAsString());
+  caller_.send_message(unknown, request.SerializeAsString());
   EXPECT_TRUE(until([&] { return caller_.seen[unknown].closed; }));
   EXPECT_EQ(caller_.seen[unknown].headers["grpc-status"], "5");
   auto other = caller_.call("/some.Other/Method");
@@ -165,7 +165,7 @@
   EXPECT_EQ(caller_.seen[other].headers["grpc-status"], "12");
   request.clear_service();
   auto watch = caller_.call("/grpc.health.v1.Health/Watch");
-  caller_.message(watch, request.SerializeAsString());
+  caller_.send_message(watch, request.SerializeAsString());
   EXPECT_TRUE(until([&] { return caller_.messages(watch).size() == 1; }));
   router_->terminate();
   EXPECT_TRUE(until([&] { return caller_.messages(watch).size() == 2; }));
@@ -186,7 +186,7 @@
   auto* h = report.mutable_response_headers()->mutable_headers()->add_headers();
   h->set_key(":status");
   h->set_raw_value("200");
-  caller_.message(call, report.SerializeAsString());
+  caller_.send_message(call, report.SerializeAsString());
   EXPECT_TRUE(answer(call, 1).has_response_headers());
   caller_.half_close(call);
   EXPECT_TRUE(until([&] { return caller_.seen[call].closed; }));
@@ -215,7 +215,7 @@
     link_ = TestConnection::to(port_);
     test::Caller fresh;
     auto id = fresh.call(kProcess);
-    fresh.message(id, std::string(static_cast<std::size_t>(k), '\x0a'));
+    fresh.send_message(id, std::string(static_cast<std::size_t>(k), '\x0a'));
     std::string bytes = fresh.send();
     link_.write(std::string_view(bytes).substr(0, bytes.size() * static_cast<std::size_t>(k) / 60));
     k % 2 ? link_.send_reset() : link_.close();
--- a/tests/grpc/caller.hpp
+++ b/tests/grpc/caller.hpp
@@ -88,7 +88,7 @@
     out_[id] += raw;
     nghttp2_session_resume_data(session_, id);
   }
-  void message(std::int32_t id, const std::string& text) {
+  void send_message(std::int32_t id, const std::string& text) {
     std::string prefix(5, '\0');
     for (std::size_t k = 0; k < 4; ++k)
       prefix[1 + k] = static_cast<char>(text.size() >> (24 - 8 * k));
--- a/tests/grpc/server_session_test.cpp
+++ b/tests/grpc/server_session_test.cpp
@@ -20,7 +20,7 @@
   }
   void on_message(CallId call, std::string&& message) override {
     log_.push_back("message " + message);
-    if (echo_) session_->message(call, "echo " + message);
+    if (echo_) session_->send_message(call, "echo " + message);
     if (finish_at_once_) session_->finish(call, Status::Unavailable, "no 100%\n"), --open_;
   }
   void on_half_close(CallId call) override {
@@ -29,7 +29,7 @@
     session_->finish(call, Status::Ok);
     --open_;
   }
-  void on_gone(CallId) override {
+  void on_aborted(CallId) override {
     log_.push_back("gone");
     --open_;
   }
@@ -67,8 +67,8 @@
 TEST_F(SessionTest, ACallsMessagesGoBothWaysAndItEnds) {
   start();
   auto id = caller_.call("/a.B/C", {{"grpc-timeout", "250m"}});
-  caller_.message(id, "one");
-  caller_.message(id, "");
+  caller_.send_message(id, "one");
+  caller_.send_message(id, "");
   caller_.half_close(id);
   EXPECT_TRUE(exchange());
   EXPECT_EQ(log_, (Log{"call /a.B/C 250000", "message one", "message ", "half"}));
@@ -87,7 +87,7 @@
     Caller fresh;
     std::string bytes;
     auto id = fresh.call("/a.B/C");
-    fresh.message(id, std::string(1000, 'x'));
+    fresh.send_message(id, std::string(1000, 'x'));
     fresh.half_close(id);
     std::string there = fresh.send(), back;
     for (std::size_t at = 0; at < there.size(); at += part)
@@ -113,8 +113,8 @@
   finish_at_once_ = true;
   start();
   auto id = caller_.call("/a.B/C");
-  caller_.message(id, "x");
-  caller_.message(id, "never seen");
+  caller_.send_message(id, "x");
+  caller_.send_message(id, "never seen");
   EXPECT_TRUE(exchange());
   EXPECT_EQ(caller_.seen[id].headers["grpc-status"], "14");
   EXPECT_EQ(caller_.seen[id].headers["grpc-message"], "no 100%25%0A");
@@ -134,11 +134,11 @@
   caller_.reset(first);
   EXPECT_TRUE(exchange());
   EXPECT_EQ(open_, 1);
-  session_->message(first, "nobody");  // ignored
+  session_->send_message(first, "nobody");  // ignored
   session_->finish(first, Status::Ok);
   session_.reset();
   EXPECT_EQ(open_, 0);
-  EXPECT_EQ(counts_.gone, 2u);
+  EXPECT_EQ(counts_.aborted, 2u);
 }
 
 TEST_F(SessionTest, WhatIsNoGrpcCallIsToldSo) {
@@ -165,11 +165,11 @@
   start();
   auto id = caller_.call("/a.B/C"), other = caller_.call("/a.B/D");
   caller_.bytes(id, std::string("\0\x7f\xff\xff\xff", 5));  // says 2 GB
-  caller_.message(other, "fine");
+  caller_.send_message(other, "fine");
   EXPECT_TRUE(exchange());
   EXPECT_EQ(caller_.seen[id].headers["grpc-status"], "8");
   EXPECT_EQ(caller_.messages(other), Log{"echo fine"});
-  EXPECT_EQ(counts_.message_too_long, 1u);
+  EXPECT_EQ(counts_.messages_too_long, 1u);
   EXPECT_EQ(open_, 1);
 }
 
@@ -177,7 +177,7 @@
   start();
   auto id = caller_.call("/a.B/C", {{"x-long", std::string(20'000, 'h')}});
   auto other = caller_.call("/a.B/D");
-  caller_.message(other, "fine");
+  caller_.send_message(other, "fine");
   EXPECT_TRUE(exchange());
   EXPECT_TRUE(caller_.seen[id].closed);
   EXPECT_NE(caller_.seen[id].error, 0u);
@@ -209,7 +209,7 @@
 }
 
 TEST_F(SessionTest, MoreCallsThanTheLimitAreRefusedUnseen) {
-  limits_.streams = 3;
+  limits_.max_streams = 3;
   echo_ = false;
   start();
   EXPECT_TRUE(exchange());  // its settings are known
@@ -277,9 +277,9 @@
   bool good = true;
   int sent = 0;
   for (; sent < 1000 && good; ++sent) {
-    session_->message(id, std::string(100, 'm'));
+    session_->send_message(id, std::string(100, 'm'));
     good = session_->send(out);  // and nothing of it is read: no window comes back
-    session_->note_unsent(static_cast<std::size_t>(sent) * 105);
+    session_->set_unsent_bytes(static_cast<std::size_t>(sent) * 105);
   }
   EXPECT_LT(sent, 150);
   EXPECT_EQ(counts_.slow_readers, 1u);
@@ -293,7 +293,7 @@
   bool good = true;
   int asked = 0;
   for (; asked < 1000 && good; ++asked) {  // nothing of what it is owed is taken off the session
-    caller_.message(id, std::string(95, 'm'));
+    caller_.send_message(id, std::string(95, 'm'));
     good = session_->recv(caller_.send());
   }
   EXPECT_LT(asked, 120);
@@ -303,13 +303,13 @@
 TEST_F(SessionTest, GoingAwayFinishesWhatIsOpen) {
   start();
   auto id = caller_.call("/a.B/C");
-  caller_.message(id, "one");
+  caller_.send_message(id, "one");
   EXPECT_TRUE(exchange());
   session_->go_away();
   EXPECT_FALSE(session_->drained());
   EXPECT_TRUE(exchange());
   EXPECT_TRUE(caller_.goaway);
-  caller_.message(id, "two");
+  caller_.send_message(id, "two");
   caller_.half_close(id);
   exchange();
   EXPECT_EQ(caller_.messages(id), (Log{"echo one", "echo two"}));
@@ -322,7 +322,7 @@
     start();
     Caller fresh;
     auto id = fresh.call("/a.B/C", {{"x", "y"}});
-    fresh.message(id, "hello");
+    fresh.send_message(id, "hello");
     std::string bytes = fresh.send(), out;
     for (int k = 0; k < 3; ++k) bytes[random() % bytes.size()] = static_cast<char>(random());
     std::size_t cut = random() % bytes.size();
@@ -332,18 +332,18 @@
     session_.reset();
     ASSERT_EQ(open_, 0);
   }
-  EXPECT_GT(counts_.garbage + counts_.not_grpc, 100u);
+  EXPECT_GT(counts_.protocol_errors + counts_.not_grpc, 100u);
 }
 
 TEST(GrpcTimeout, IsReadAsTheSpecificationSays) {
-  EXPECT_EQ(timeout_of("1H"), 3600 * kSecond);
-  EXPECT_EQ(timeout_of("2M"), 120 * kSecond);
-  EXPECT_EQ(timeout_of("3S"), 3 * kSecond);
-  EXPECT_EQ(timeout_of("99999999m"), 99'999'999 * kMillisecond);
-  EXPECT_EQ(timeout_of("7u"), 7);
-  EXPECT_EQ(timeout_of("1999n"), 1);
+  EXPECT_EQ(parse_timeout("1H"), 3600 * kSecond);
+  EXPECT_EQ(parse_timeout("2M"), 120 * kSecond);
+  EXPECT_EQ(parse_timeout("3S"), 3 * kSecond);
+  EXPECT_EQ(parse_timeout("99999999m"), 99'999'999 * kMillisecond);
+  EXPECT_EQ(parse_timeout("7u"), 7);
+  EXPECT_EQ(parse_timeout("1999n"), 1);
   for (const char* bad : {"", "1", "S", "-1S", "1x", "123456789S", "1.5S"})
-    EXPECT_FALSE(timeout_of(bad)) << bad;
+    EXPECT_FALSE(parse_timeout(bad)) << bad;
 }
 
 }  // namespace
