--- a/src/extproc/orca.cpp
+++ b/src/extproc/orca.cpp
@@ -16,12 +16,12 @@
 using Report = xds::data::orca::v3::OrcaLoadReport;
 using robinseam::ReportField;
 
-/// More than this of a field is no load; shares are a little noisy.
-double most_of(ReportField field) {
+/// Larger values are ignored as implausible. The bound of shares is above 1 because they are noisy.
+double max_plausible(ReportField field) {
   return field == ReportField::Utilization || field == ReportField::HitShare ? 2 : 1e6;
 }
 
-std::optional<std::string> base64(std::string_view text) {
+std::optional<std::string> decode_base64(std::string_view text) {
   while (text.ends_with('=')) text.remove_suffix(1);
   std::string out;
   unsigned bits = 0;
@@ -40,23 +40,23 @@
   return out;
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
 
-/// `name=value` or `name:value`, with commas between; names of maps are `map.key`.
+/// Parses comma-separated `name=value` or `name:value` pairs; entries of maps are named `map.key`.
 bool parse_text(std::string_view text, Report& report) {
   while (!text.empty()) {
     std::string_view pair = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), pair.size() + 1));
     std::size_t at = pair.find_first_of("=:");
     if (at == pair.npos) return false;
-    std::string_view name = trimmed(pair.substr(0, at)), figure = trimmed(pair.substr(at + 1));
+    std::string_view name = trim(pair.substr(0, at)), number = trim(pair.substr(at + 1));
     double value = 0;
-    auto [end, error] = std::from_chars(figure.data(), figure.data() + figure.size(), value);
-    if (error != std::errc() || end != figure.data() + figure.size()) return false;
+    auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
+    if (error != std::errc() || end != number.data() + number.size()) return false;
     if (name == "cpu_utilization")
       report.set_cpu_utilization(value);
     else if (name == "application_utilization")
@@ -73,26 +73,26 @@
   return true;
 }
 
-std::vector<double> mapped(const Report& report, const std::vector<ReportField>& fields) {
-  std::vector<double> figures(fields.size(), std::numeric_limits<double>::quiet_NaN());
-  auto put = [&](ReportField field, double value) {
-    if (!(value >= 0 && value <= most_of(field))) return;
+std::vector<double> map_to_fields(const Report& report, const std::vector<ReportField>& fields) {
+  std::vector<double> values(fields.size(), std::numeric_limits<double>::quiet_NaN());
+  auto set_value = [&](ReportField field, double value) {
+    if (!(value >= 0 && value <= max_plausible(field))) return;
     auto at = std::find(fields.begin(), fields.end(), field);
-    if (at != fields.end()) figures[static_cast<std::size_t>(at - fields.begin())] = value;
+    if (at != fields.end()) values[static_cast<std::size_t>(at - fields.begin())] = value;
   };
-  // Zero is proto3's "not told".
+  // In proto3 zero means that the field is not set.
   if (double u = report.application_utilization() > 0 ? report.application_utilization()
                                                       : report.cpu_utilization();
       u > 0)
-    put(ReportField::Utilization, u);
+    set_value(ReportField::Utilization, u);
   if (double r =
           report.rps_fractional() > 0 ? report.rps_fractional() : static_cast<double>(report.rps());
       r > 0)
-    put(ReportField::PerSecond, r);
-  if (report.eps() > 0) put(ReportField::ErrorsPerSecond, report.eps());
+    set_value(ReportField::PerSecond, r);
+  if (report.eps() > 0) set_value(ReportField::ErrorsPerSecond, report.eps());
   for (const auto& [name, value] : report.named_metrics())
-    if (auto field = robinseam::drill::parse_report_field(name)) put(*field, value);
-  return figures;
+    if (auto field = robinseam::drill::parse_report_field(name)) set_value(*field, value);
+  return values;
 }
 
 }  // namespace
@@ -100,23 +100,23 @@
 std::optional<std::vector<double>> parse_orca_report_bin(std::string_view value,
                                                          const std::vector<ReportField>& fields) {
   if (value.size() > kMaxReportBytes) return std::nullopt;
-  auto bytes = base64(trimmed(value));
+  auto bytes = decode_base64(trim(value));
   Report report;
   if (!bytes || !report.ParseFromString(*bytes)) return std::nullopt;
-  return mapped(report, fields);
+  return map_to_fields(report, fields);
 }
 
 std::optional<std::vector<double>> parse_orca_report(std::string_view value,
                                                      const std::vector<ReportField>& fields) {
   if (value.size() > kMaxReportBytes) return std::nullopt;
-  value = trimmed(value);
+  value = trim(value);
   std::string_view form = value.substr(0, value.find(' '));
-  std::string_view rest = trimmed(value.substr(form.size()));
+  std::string_view rest = trim(value.substr(form.size()));
   if (form == "BIN") return parse_orca_report_bin(rest, fields);
   Report report;
   if (form == "TEXT") {
     if (!parse_text(rest, report)) return std::nullopt;
-    return mapped(report, fields);
+    return map_to_fields(report, fields);
   }
   if (form != "JSON") return std::nullopt;
   google::protobuf::util::JsonParseOptions options;
@@ -125,7 +125,7 @@
            google::protobuf::StringPiece(rest.data(), rest.size()), &report, options)
            .ok())
     return std::nullopt;
-  return mapped(report, fields);
+  return map_to_fields(report, fields);
 }
 
 }  // namespace arrowfork::extproc
--- a/src/extproc/orca.hpp
+++ b/src/extproc/orca.hpp
@@ -1,7 +1,7 @@
-// ORCA load reports as response headers bear them, mapped on the settings' report fields.
+// Parses ORCA load reports from response headers into the report fields of the settings.
 //
 // Source: gRFC A51 and A64, xds.data.orca.v3.OrcaLoadReport; the header `endpoint-load-metrics`
-// with the forms `BIN base64`, `TEXT name=value, ..` and `JSON {..}`, and
+// in the forms `BIN base64`, `TEXT name=value, ..` and `JSON {..}`, and
 // `endpoint-load-metrics-bin`.
 #pragma once
 
@@ -13,16 +13,17 @@
 
 namespace arrowfork::extproc {
 
-/// The most bytes of a report that are looked at; a longer one is none.
+/// A longer report is rejected.
 constexpr std::size_t kMaxReportBytes = 4096;
 
-/// The report in the order of `fields`, NaN where it does not tell one; nothing where `value` is no
-/// report at all. Known are: application_utilization, else cpu_utilization, as Utilization;
-/// rps_fractional (`rps`) as PerSecond; eps as ErrorsPerSecond; and in named_metrics the settings'
-/// own names. Figures that are negative, not finite or beyond any load are left out.
+/// Returns the values in the order of `fields`, NaN for those that are not reported, or nullopt if
+/// `value` is not a valid report. Mapping: application_utilization, otherwise cpu_utilization, to
+/// Utilization; rps_fractional or `rps` to PerSecond; eps to ErrorsPerSecond; named_metrics to the
+/// fields with the same names in the settings. Values that are negative, not finite or implausibly
+/// large are ignored.
 std::optional<std::vector<double>> parse_orca_report(
     std::string_view value, const std::vector<robinseam::ReportField>& fields);
-/// The same of `endpoint-load-metrics-bin`, whose value is the message itself in base64.
+/// Same for `endpoint-load-metrics-bin`, whose value is the base64-encoded message.
 std::optional<std::vector<double>> parse_orca_report_bin(
     std::string_view value, const std::vector<robinseam::ReportField>& fields);
 
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -13,15 +13,15 @@
 namespace pb = envoy::service::ext_proc::v3;
 namespace mode = envoy::extensions::filters::http::ext_proc::v3;
 
-const char* const kEndpoint = "x-gateway-destination-endpoint";
-const char* const kServedBy = "x-gateway-destination-endpoint-served";
-const char* const kMetadata = "envoy.lb";
-constexpr std::size_t kMaxKey = 250, kMaxName = 64;  // as for the other fronts
+const char* const kEndpointKey = "x-gateway-destination-endpoint";
+const char* const kServedEndpointKey = "x-gateway-destination-endpoint-served";
+const char* const kMetadataNamespace = "envoy.lb";
+constexpr std::size_t kMaxKeyBytes = 250, kMaxIdBytes = 64;  // same as for the other frontends
 
 using Headers = std::unordered_map<std::string, std::string>;
 
-/// Names in lower case; of a name that comes twice the first counts.
-Headers read(const pb::HttpHeaders& headers) {
+/// Returns the headers with names in lower case. Of repeated headers the first one counts.
+Headers lower_case_headers(const pb::HttpHeaders& headers) {
   Headers all;
   for (const auto& h : headers.headers().headers()) {
     std::string name = h.key();
@@ -32,16 +32,16 @@
   return all;
 }
 
-std::string value_of(const Headers& headers, const std::string& name) {
+std::string header_value(const Headers& headers, const std::string& name) {
   auto at = headers.find(name);
   return at == headers.end() ? std::string() : at->second;
 }
 
-bool printable(const std::string& text) {
+bool is_printable(const std::string& text) {
   return std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
 
-std::optional<std::int64_t> whole_number(const std::string& text) {
+std::optional<std::int64_t> parse_non_negative(const std::string& text) {
   std::int64_t value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || value < 0) return std::nullopt;
@@ -57,23 +57,23 @@
 
 }  // namespace
 
-/// One request, over all streams that its caller opens for it.
-struct Processor::Exchange final : ReplySink {
-  explicit Exchange(Processor& processor) : processor(processor) {}
+/// A request, across all streams that its caller opens for it (one per attempt).
+struct Processor::TrackedRequest final : ReplySink {
+  explicit TrackedRequest(Processor& processor) : processor(processor) {}
   void on_reply(const Request&, Reply&& reply) override {
-    processor.settle_final(*this, std::move(reply));
+    processor.on_final_reply(*this, std::move(reply));
   }
   Processor& processor;
-  std::string name;
+  std::string request_id;  // from the request id header
   RequestId id = 0;
-  StreamId stream = 0;     // the last that came for it; 0 once it has gone
-  bool waiting = false;    // that stream waits for a decision
-  std::int64_t count = 0;  // the caller's number of the attempt
-  int attempt = -1;        // the core's, while it is out
-  bool told = false;       // the caller knows its endpoint: it may run
+  StreamId stream = 0;              // latest stream of the request; 0 once it is closed
+  bool awaits_decision = false;     // the stream waits for a decision
+  std::int64_t caller_attempt = 0;  // number of the attempt according to the caller
+  int attempt = -1;                 // number in the core, while in flight
+  bool endpoint_sent = false;       // the caller knows the endpoint: the attempt may run
   std::string address;
-  std::optional<Reply> last;  // the final answer, for which nobody was there
-  Micros forget_at = 0;
+  std::optional<Reply> final_reply;  // kept while no caller waits for it
+  Micros expires_at = 0;             // when final_reply is dropped
 };
 
 Processor::Processor(Core& core, const TimeSource& clock, Output& output, ProcessorOptions options,
@@ -106,26 +106,27 @@
   pb::ProcessingRequest request;
   if (!request.ParseFromString(bytes)) {
     ++counts_.invalid;
-    leave(stream);
+    close_stream(stream);
     output_.finish(stream, grpc::Status::InvalidArgument, "no ProcessingRequest");
     return;
   }
   Response response;
   switch (request.request_case()) {
     case pb::ProcessingRequest::kRequestHeaders:
-      if (at->second.empty()) return request_headers(stream, request.request_headers());
+      if (at->second.empty()) return on_request_headers(stream, request.request_headers());
       ++counts_.invalid;
-      leave(stream);
+      close_stream(stream);
       return output_.finish(stream, grpc::Status::InvalidArgument, "request_headers twice");
     case pb::ProcessingRequest::kResponseHeaders: {
       const auto& metadata = request.metadata_context().filter_metadata();
-      std::string served_by;
-      if (auto lb = metadata.find(kMetadata); lb != metadata.end())
-        if (auto one = lb->second.fields().find(kServedBy); one != lb->second.fields().end())
-          served_by = one->second.string_value();
-      return response_headers(stream, request.response_headers(), served_by);
+      std::string served_endpoint;
+      if (auto lb = metadata.find(kMetadataNamespace); lb != metadata.end())
+        if (auto one = lb->second.fields().find(kServedEndpointKey);
+            one != lb->second.fields().end())
+          served_endpoint = one->second.string_value();
+      return on_response_headers(stream, request.response_headers(), served_endpoint);
     }
-    // Let through unread; the processing mode does not ask for them.
+    // Passed on unread; the processing mode does not request them.
     case pb::ProcessingRequest::kRequestBody:
       response.mutable_request_body();
       break;
@@ -139,34 +140,35 @@
       response.mutable_response_trailers();
       break;
     case pb::ProcessingRequest::REQUEST_NOT_SET:
-      return;  // a member of a later version: nothing is due that would be known
+      return;  // a message of a later protocol version; needs no answer that is known here
   }
-  write(stream, response);
+  send_response(stream, response);
 }
 
 void Processor::on_half_close(StreamId stream) {
   if (!streams_.count(stream)) return;
-  leave(stream);
+  close_stream(stream);
   output_.finish(stream, grpc::Status::Ok, "");
 }
 
-void Processor::on_aborted(StreamId stream) { leave(stream); }
+void Processor::on_aborted(StreamId stream) { close_stream(stream); }
 
-/// What a stream that ends proves: before its endpoint was told, that nobody waits; after, that its
-/// caller gave the attempt up, which may have run: nothing of the server, but for the time it took.
-void Processor::leave(StreamId stream) {
+/// Removes a closed stream. If it was still waiting for an endpoint, the client is gone. If the
+/// endpoint was already sent, the caller abandoned the attempt, which may have run; this says
+/// nothing about the server except how long the attempt took.
+void Processor::close_stream(StreamId stream) {
   auto at = streams_.find(stream);
   if (at == streams_.end()) return;
-  std::string name = std::move(at->second);
+  std::string request_id = std::move(at->second);
   streams_.erase(at);
-  auto it = exchanges_.find(name);
-  if (it == exchanges_.end() || it->second->stream != stream) return;
-  Exchange& e = *it->second;
+  auto it = requests_.find(request_id);
+  if (it == requests_.end() || it->second->stream != stream) return;
+  TrackedRequest& e = *it->second;
   e.stream = 0;
-  if (std::exchange(e.waiting, false)) {
+  if (std::exchange(e.awaits_decision, false)) {
     core_.gone(e.id);
-    forget(name);
-  } else if (e.attempt >= 0 && e.told) {
+    remove(request_id);
+  } else if (e.attempt >= 0 && e.endpoint_sent) {
     ++counts_.unreported;
     end_attempt(e, Status::Cancelled);
   }
@@ -174,116 +176,119 @@
 
 // ---- requests ----
 
-void Processor::request_headers(StreamId stream, const pb::HttpHeaders& message) {
-  Headers headers = read(message);
+void Processor::on_request_headers(StreamId stream, const pb::HttpHeaders& message) {
+  Headers headers = lower_case_headers(message);
   Request r;
-  r.key = value_of(headers, options_.key_header);
-  if (r.key.empty() || r.key.size() > kMaxKey || !printable(r.key))
-    return bad(stream, options_.key_header);
-  r.id = value_of(headers, options_.id_header);
-  if (r.id.empty() || r.id.size() > kMaxName || !printable(r.id))
-    return bad(stream, options_.id_header);
-  std::string method = value_of(headers, ":method");
+  r.key = header_value(headers, options_.key_header);
+  if (r.key.empty() || r.key.size() > kMaxKeyBytes || !is_printable(r.key))
+    return reject_invalid(stream, options_.key_header);
+  r.id = header_value(headers, options_.id_header);
+  if (r.id.empty() || r.id.size() > kMaxIdBytes || !is_printable(r.id))
+    return reject_invalid(stream, options_.id_header);
+  std::string method = header_value(headers, ":method");
   r.write = method != "GET" && method != "HEAD" && !method.empty();
-  r.type = value_of(headers, options_.class_header);
+  r.type = header_value(headers, options_.class_header);
   if (r.type.empty()) r.type = r.write ? options_.write_class : options_.read_class;
   const robinseam::ClassSettings* type = core_.class_of(r.type);
-  if (!type) return bad(stream, options_.class_header);
-  r.tenant = value_of(headers, options_.tenant_header);
+  if (!type) return reject_invalid(stream, options_.class_header);
+  r.tenant = header_value(headers, options_.tenant_header);
   if (r.tenant.empty()) r.tenant = options_.default_tenant;
-  if (r.tenant.size() > kMaxKey || !printable(r.tenant)) return bad(stream, options_.tenant_header);
-  r.idempotency = value_of(headers, options_.idempotency_header);
-  if (r.idempotency.size() > kMaxName || !printable(r.idempotency))
-    return bad(stream, options_.idempotency_header);
+  if (r.tenant.size() > kMaxKeyBytes || !is_printable(r.tenant))
+    return reject_invalid(stream, options_.tenant_header);
+  r.idempotency = header_value(headers, options_.idempotency_header);
+  if (r.idempotency.size() > kMaxIdBytes || !is_printable(r.idempotency))
+    return reject_invalid(stream, options_.idempotency_header);
   r.patience = type->deadline;
-  if (std::string text = value_of(headers, options_.deadline_header); !text.empty()) {
-    auto ms = whole_number(text);
-    if (!ms) return bad(stream, options_.deadline_header);
+  if (std::string text = header_value(headers, options_.deadline_header); !text.empty()) {
+    auto ms = parse_non_negative(text);
+    if (!ms) return reject_invalid(stream, options_.deadline_header);
     r.patience = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
   }
   std::int64_t count = 1;
-  if (std::string text = value_of(headers, options_.attempt_header); !text.empty()) {
-    auto number = whole_number(text);
-    if (!number) return bad(stream, options_.attempt_header);
+  if (std::string text = header_value(headers, options_.attempt_header); !text.empty()) {
+    auto number = parse_non_negative(text);
+    if (!number) return reject_invalid(stream, options_.attempt_header);
     count = *number;
   }
   r.repeat = count > 1;
-  std::string name = r.id;
-  if (auto it = exchanges_.find(name); it != exchanges_.end()) {
-    Exchange& e = *it->second;
-    if (count <= e.count) return bad(stream, options_.id_header);  // the same attempt twice
+  std::string request_id = r.id;
+  if (auto it = requests_.find(request_id); it != requests_.end()) {
+    TrackedRequest& e = *it->second;
+    if (count <= e.caller_attempt)
+      return reject_invalid(stream, options_.id_header);  // duplicate attempt
     ++counts_.continued;
-    e.count = count;
-    streams_[stream] = name;
-    // The caller has given the last attempt up, and may have done so without a word.
-    bool gave_up = e.attempt >= 0 && e.told;
+    e.caller_attempt = count;
+    streams_[stream] = request_id;
+    // The caller has abandoned its previous attempt, possibly without reporting it.
+    bool abandoned = e.attempt >= 0 && e.endpoint_sent;
     e.stream = stream;
-    e.waiting = true;
-    if (gave_up) end_attempt(e, Status::Cancelled);
-    if (e.last) return give_final(e);
+    e.awaits_decision = true;
+    if (abandoned) end_attempt(e, Status::Cancelled);
+    if (e.final_reply) return send_final_reply(e);
     if (e.attempt >= 0)
-      tell(e);  // decided while nobody was there
+      send_endpoint(e);  // decided while no stream was open
     else
       core_.again(e.id);
     return;
   }
-  // A further attempt of a write that is not known here: an earlier one may have run, before a
-  // restart or by another router's word, and nothing drops the repeat.
+  // A further attempt of a write that this router does not know. An earlier attempt may have run,
+  // before a restart or through another router, and without an idempotency key the servers cannot
+  // drop the duplicate.
   if (count > 1 && r.write && r.idempotency.empty()) {
     ++counts_.failed;
     streams_.erase(stream);
-    return immediate(stream, 503, "failed");
+    return send_immediate_response(stream, 503, "failed");
   }
-  auto owner = std::make_unique<Exchange>(*this);
-  Exchange& e = *owner;
+  auto owner = std::make_unique<TrackedRequest>(*this);
+  TrackedRequest& e = *owner;
   switch (core_.take(std::move(r), e, *this, e.id)) {
     case Core::Taken::Yes:
       break;
     case Core::Taken::BadClass:
-      return bad(stream, options_.class_header);
+      return reject_invalid(stream, options_.class_header);
     case Core::Taken::IdInUse:
-      return bad(stream, options_.id_header);
+      return reject_invalid(stream, options_.id_header);
     case Core::Taken::Busy:
       ++counts_.refused;
       streams_.erase(stream);
-      immediate(stream, 429, "busy");
+      send_immediate_response(stream, 429, "busy");
       return;
   }
-  e.name = name;
+  e.request_id = request_id;
   e.stream = stream;
-  e.waiting = true;
-  e.count = count;
-  streams_[stream] = name;
+  e.awaits_decision = true;
+  e.caller_attempt = count;
+  streams_[stream] = request_id;
   by_id_[e.id] = &e;
-  exchanges_[name] = std::move(owner);
+  requests_[request_id] = std::move(owner);
 }
 
-void Processor::response_headers(StreamId stream, const pb::HttpHeaders& message,
-                                 const std::string& served_by) {
+void Processor::on_response_headers(StreamId stream, const pb::HttpHeaders& message,
+                                    const std::string& served_endpoint) {
   auto at = streams_.find(stream);
   if (at->second.empty()) {
     ++counts_.invalid;
-    leave(stream);
+    close_stream(stream);
     return output_.finish(stream, grpc::Status::InvalidArgument, "response_headers came first");
   }
   Response response;
   response.mutable_response_headers();
-  write(stream, response);
-  auto it = exchanges_.find(at->second);
-  // Late news of an attempt that was given up before says nothing any more.
-  if (it == exchanges_.end() || it->second->stream != stream) return;
-  Exchange& e = *it->second;
-  if (e.attempt < 0 || !e.told) return;
-  Headers headers = read(message);
+  send_response(stream, response);
+  auto it = requests_.find(at->second);
+  // Ignore late reports of an attempt that was already abandoned.
+  if (it == requests_.end() || it->second->stream != stream) return;
+  TrackedRequest& e = *it->second;
+  if (e.attempt < 0 || !e.endpoint_sent) return;
+  Headers headers = lower_case_headers(message);
   AttemptResult result;
-  if (std::string text = value_of(headers, "endpoint-load-metrics"); !text.empty())
+  if (std::string text = header_value(headers, "endpoint-load-metrics"); !text.empty())
     result.report = parse_orca_report(text, fields_).value_or(std::vector<double>());
-  else if (std::string bin = value_of(headers, "endpoint-load-metrics-bin"); !bin.empty())
+  else if (std::string bin = header_value(headers, "endpoint-load-metrics-bin"); !bin.empty())
     result.report = parse_orca_report_bin(bin, fields_).value_or(std::vector<double>());
-  auto code = whole_number(value_of(headers, ":status"));
+  auto code = parse_non_negative(header_value(headers, ":status"));
   Status status = Status::Spoilt;
-  if (!served_by.empty() && served_by != e.address) {
-    ++counts_.other_endpoint;  // what another server did says nothing of this one's attempt
+  if (!served_endpoint.empty() && served_endpoint != e.address) {
+    ++counts_.other_endpoint;  // the answer of another server says nothing about this attempt
     result = {};
   } else if (code && *code >= 200 && *code < 500) {
     status = *code == 429 ? Status::Full : Status::Ok;
@@ -294,11 +299,12 @@
   end_attempt(e, status, std::move(result));
 }
 
-void Processor::end_attempt(Exchange& e, Status status, AttemptResult&& result) {
+void Processor::end_attempt(TrackedRequest& e, Status status, AttemptResult&& result) {
   int attempt = std::exchange(e.attempt, -1);
-  e.told = false;
-  // A further attempt is decided when the caller comes for it: one that never comes, or whose
-  // retries are used up, would fill the servers' limits with attempts that nobody carries.
+  e.endpoint_sent = false;
+  // The next attempt is decided only when the caller asks for it. Otherwise callers that never
+  // return, or that have no retries left, would fill the servers' limits with attempts that nobody
+  // sends.
   core_.attempt_ended(e.id, attempt, status, std::move(result), status != Status::Ok);
 }
 
@@ -311,101 +317,104 @@
     core_.attempt_ended(id, attempt, Status::ConnectFailed, {});
     return;
   }
-  Exchange& e = *it->second;
-  // The caller carries one attempt at a time: a second copy is never sent. Put in the first one's
-  // place it took that one's report, and the first ran into a time-out that no server had caused.
+  TrackedRequest& e = *it->second;
+  // The caller sends one attempt at a time, so a hedge is never sent. If it replaced the first
+  // attempt, it would take that attempt's report, and the first would time out although no server
+  // was slow.
   if (e.attempt >= 0) {
     core_.attempt_ended(id, attempt, Status::Moot, {});
     return;
   }
   e.attempt = attempt;
-  e.told = false;
+  e.endpoint_sent = false;
   e.address = std::move(address);
-  if (e.waiting) tell(e);  // else it waits for the caller, at most its patience
+  if (e.awaits_decision)
+    send_endpoint(e);  // otherwise it waits for the caller, at most until the attempt timeout
 }
 
 Status Processor::cancel(const std::string&, RequestId id, int attempt) {
   auto it = by_id_.find(id);
   if (it == by_id_.end() || it->second->attempt != attempt) return Status::Cancelled;
-  Exchange& e = *it->second;
-  bool told = std::exchange(e.told, false);
+  TrackedRequest& e = *it->second;
+  bool endpoint_sent = std::exchange(e.endpoint_sent, false);
   e.attempt = -1;
-  return told ? Status::Cancelled : Status::Moot;
+  return endpoint_sent ? Status::Cancelled : Status::Moot;
 }
 
-void Processor::tell(Exchange& e) {
-  e.waiting = false;
-  e.told = true;
+void Processor::send_endpoint(TrackedRequest& e) {
+  e.awaits_decision = false;
+  e.endpoint_sent = true;
   ++counts_.picked;
   Response response;
   auto* common = response.mutable_request_headers()->mutable_response();
-  set_header(*common->mutable_header_mutation(), kEndpoint, e.address);
+  set_header(*common->mutable_header_mutation(), kEndpointKey, e.address);
   common->set_clear_route_cache(true);
-  auto& lb = (*response.mutable_dynamic_metadata()->mutable_fields())[kMetadata];
-  (*lb.mutable_struct_value()->mutable_fields())[kEndpoint].set_string_value(e.address);
-  auto* only = response.mutable_mode_override();
-  only->set_response_header_mode(mode::ProcessingMode::SEND);
-  only->set_request_trailer_mode(mode::ProcessingMode::SKIP);
-  only->set_response_trailer_mode(mode::ProcessingMode::SKIP);
-  write(e.stream, response);
+  auto& lb = (*response.mutable_dynamic_metadata()->mutable_fields())[kMetadataNamespace];
+  (*lb.mutable_struct_value()->mutable_fields())[kEndpointKey].set_string_value(e.address);
+  auto* mode_override = response.mutable_mode_override();
+  mode_override->set_response_header_mode(mode::ProcessingMode::SEND);
+  mode_override->set_request_trailer_mode(mode::ProcessingMode::SKIP);
+  mode_override->set_response_trailer_mode(mode::ProcessingMode::SKIP);
+  send_response(e.stream, response);
 }
 
-/// The core's last word. Where nobody waits for it, it is kept for an attempt that may come.
-void Processor::settle_final(Exchange& e, Reply&& reply) {
-  if (reply.kind == Reply::Kind::Served) return forget(std::string(e.name));
-  e.last = std::move(reply);
-  e.forget_at = clock_.now() + core_.longest_deadline();
-  if (e.waiting) give_final(e);
+/// Takes the core's final reply. If no caller waits for it, it is kept for a later attempt.
+void Processor::on_final_reply(TrackedRequest& e, Reply&& reply) {
+  if (reply.kind == Reply::Kind::Served) return remove(std::string(e.request_id));
+  e.final_reply = std::move(reply);
+  e.expires_at = clock_.now() + core_.longest_deadline();
+  if (e.awaits_decision) send_final_reply(e);
 }
 
-void Processor::give_final(Exchange& e) {
-  bool refused = e.last->kind == Reply::Kind::Refused;
+void Processor::send_final_reply(TrackedRequest& e) {
+  bool refused = e.final_reply->kind == Reply::Kind::Refused;
   ++(refused ? counts_.refused : counts_.failed);
   StreamId stream = e.stream;
-  Micros come_back = e.last->come_back;
+  Micros retry_after = e.final_reply->come_back;
   streams_.erase(stream);
-  forget(std::string(e.name));
-  immediate(stream, refused ? 429 : 503, refused ? "busy" : "failed", come_back);
+  remove(std::string(e.request_id));
+  send_immediate_response(stream, refused ? 429 : 503, refused ? "busy" : "failed", retry_after);
 }
 
-void Processor::bad(StreamId stream, const std::string& field) {
+void Processor::reject_invalid(StreamId stream, const std::string& header) {
   ++counts_.invalid;
   streams_.erase(stream);
-  immediate(stream, 400, field);
+  send_immediate_response(stream, 400, header);
 }
 
-void Processor::immediate(StreamId stream, int code, const std::string& body, Micros come_back) {
+void Processor::send_immediate_response(StreamId stream, int code, const std::string& body,
+                                        Micros retry_after) {
   Response response;
-  auto* now = response.mutable_immediate_response();
-  now->mutable_status()->set_code(static_cast<envoy::type::v3::StatusCode>(code));
-  now->set_body(body);
-  now->set_details("wheeldeal: " + body);
-  if (come_back > 0) {
-    std::int64_t ms = (come_back + kMillisecond - 1) / kMillisecond;
-    set_header(*now->mutable_headers(), "retry-after", std::to_string((ms + 999) / 1000));
-    set_header(*now->mutable_headers(), "retry-after-ms", std::to_string(ms));
+  auto* immediate = response.mutable_immediate_response();
+  immediate->mutable_status()->set_code(static_cast<envoy::type::v3::StatusCode>(code));
+  immediate->set_body(body);
+  immediate->set_details("wheeldeal: " + body);
+  if (retry_after > 0) {
+    std::int64_t ms = (retry_after + kMillisecond - 1) / kMillisecond;
+    set_header(*immediate->mutable_headers(), "retry-after", std::to_string((ms + 999) / 1000));
+    set_header(*immediate->mutable_headers(), "retry-after-ms", std::to_string(ms));
   }
-  write(stream, response);
+  send_response(stream, response);
   output_.finish(stream, grpc::Status::Ok, "");
 }
 
-void Processor::write(StreamId stream, const Response& response) {
+void Processor::send_response(StreamId stream, const Response& response) {
   output_.send_message(stream, response.SerializeAsString());
 }
 
-void Processor::forget(const std::string& name) {
-  auto it = exchanges_.find(name);
-  if (it == exchanges_.end()) return;
+void Processor::remove(const std::string& request_id) {
+  auto it = requests_.find(request_id);
+  if (it == requests_.end()) return;
   by_id_.erase(it->second->id);
-  exchanges_.erase(it);
+  requests_.erase(it);
 }
 
 void Processor::expire_replies() {
   Micros now = clock_.now();
-  std::erase_if(exchanges_, [&](const auto& entry) {
-    bool over = entry.second->last && now >= entry.second->forget_at;
-    if (over) by_id_.erase(entry.second->id);
-    return over;
+  std::erase_if(requests_, [&](const auto& entry) {
+    bool expired = entry.second->final_reply && now >= entry.second->expires_at;
+    if (expired) by_id_.erase(entry.second->id);
+    return expired;
   });
 }
 
--- a/src/extproc/processor.hpp
+++ b/src/extproc/processor.hpp
@@ -1,5 +1,5 @@
-// The external processor's decisions, without I/O: messages of callers' streams go in, answers come
-// out, and the core decides in between. The callers carry the attempts out.
+// The external processor, without I/O: takes the messages of a proxy's streams, asks the core for a
+// decision and returns the answers. The calling proxy sends the attempts to the servers itself.
 //
 // Source: envoy.service.ext_proc.v3; the endpoint picker protocol of the Gateway API inference
 // extension (004-endpoint-picker-protocol).
@@ -23,25 +23,25 @@
 
 namespace arrowfork::extproc {
 
-using StreamId = std::uint64_t;  ///< one call of one connection, never used again
+using StreamId = std::uint64_t;  ///< a call of a connection; ids are never reused
 
-/// Where a request's facts are found, and what holds where a header is absent.
+/// Names of the request headers to read, and defaults for absent ones.
 struct ProcessorOptions {
-  std::string key_header = "x-price-key";  ///< must come
+  std::string key_header = "x-price-key";  ///< required
   std::string class_header = "x-request-class";
   std::string tenant_header = "x-tenant";
   std::string deadline_header = "x-envoy-expected-rq-timeout-ms";
-  std::string id_header = "x-request-id";  ///< must come
+  std::string id_header = "x-request-id";  ///< required
   std::string idempotency_header = "idempotency-key";
   std::string attempt_header = "x-envoy-attempt-count";
   std::string read_class, write_class;  ///< classes of GET and HEAD, and of other methods
   std::string default_tenant;
-  std::size_t max_streams = 10'000;  ///< open at once, over all connections
+  std::size_t max_streams = 10'000;  ///< concurrent streams over all connections
 };
 
 class Processor final : public Carrier {
  public:
-  /// Carries answers to callers.
+  /// Sends answers to callers.
   class Output {
    public:
     virtual ~Output() = default;
@@ -54,7 +54,8 @@
     std::uint64_t reported = 0, unreported = 0, other_endpoint = 0, continued = 0;
   };
 
-  /// `address_of` gives where a server is reached, empty for one that is not known. All outlive it.
+  /// `address_of` returns the address of a server, empty if it is unknown. All references must
+  /// outlive the processor.
   Processor(Core& core, const TimeSource& clock, Output& output, ProcessorOptions options,
             const std::vector<robinseam::ReportField>& fields,
             std::function<std::string(const std::string& server)> address_of);
@@ -62,44 +63,47 @@
 
   void on_open(StreamId stream);
   void on_message(StreamId stream, const std::string& bytes);
-  /// The caller sends no more.
+  /// The caller will send no more messages.
   void on_half_close(StreamId stream);
-  /// The stream has ended; nothing more can be sent on it.
+  /// The stream was reset or its connection closed; nothing more can be sent on it.
   void on_aborted(StreamId stream);
-  /// Forgets final answers that nobody came for. Call about once a second.
+  /// Drops final replies that no caller fetched in time. Call at least about once a second.
   void expire_replies();
 
   // Carrier
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override;
   Status cancel(const std::string& server, RequestId id, int attempt) override;
-  /// The caller sends the request itself, with its idempotency header.
+  /// Always true: the caller sends the request itself, with its idempotency header.
   bool keeps_key(const Request&) const override { return true; }
   bool remote() const override { return true; }
 
   const Counts& counts() const { return counts_; }
   std::size_t open_streams() const { return streams_.size(); }
   bool is_open(StreamId stream) const { return streams_.count(stream) > 0; }
-  /// Requests of which anything is kept.
-  std::size_t kept_requests() const { return exchanges_.size(); }
+  /// Requests with state in the processor, including unfetched final replies.
+  std::size_t kept_requests() const { return requests_.size(); }
 
  private:
-  struct Exchange;
+  struct TrackedRequest;
   using Headers = std::unordered_map<std::string, std::string>;
   using Response = envoy::service::ext_proc::v3::ProcessingResponse;
 
-  void request_headers(StreamId stream, const envoy::service::ext_proc::v3::HttpHeaders& headers);
-  void response_headers(StreamId stream, const envoy::service::ext_proc::v3::HttpHeaders& headers,
-                        const std::string& served_by);
-  void tell(Exchange& exchange);
-  void give_final(Exchange& exchange);
-  void settle_final(Exchange& exchange, Reply&& reply);
-  void end_attempt(Exchange& exchange, Status status, AttemptResult&& result = {});
-  void leave(StreamId stream);
-  void bad(StreamId stream, const std::string& field);
-  void immediate(StreamId stream, int code, const std::string& body, Micros come_back = 0);
-  void write(StreamId stream, const Response& response);
-  void forget(const std::string& name);
+  void on_request_headers(StreamId stream,
+                          const envoy::service::ext_proc::v3::HttpHeaders& headers);
+  void on_response_headers(StreamId stream,
+                           const envoy::service::ext_proc::v3::HttpHeaders& headers,
+                           const std::string& served_endpoint);
+  void send_endpoint(TrackedRequest& request);
+  void send_final_reply(TrackedRequest& request);
+  void on_final_reply(TrackedRequest& request, Reply&& reply);
+  void end_attempt(TrackedRequest& request, Status status, AttemptResult&& result = {});
+  void close_stream(StreamId stream);
+  void reject_invalid(StreamId stream, const std::string& header);
+  void send_immediate_response(StreamId stream, int code, const std::string& body,
+                               Micros retry_after = 0);
+  void send_response(StreamId stream, const Response& response);
+  void remove(const std::string& request_id);
 
   Core& core_;
   const TimeSource& clock_;
@@ -107,9 +111,10 @@
   ProcessorOptions options_;
   const std::vector<robinseam::ReportField>& fields_;
   std::function<std::string(const std::string&)> address_of_;
-  std::unordered_map<StreamId, std::string> streams_;  // the name of its exchange; "" before
-  std::unordered_map<std::string, std::unique_ptr<Exchange>> exchanges_;
-  std::unordered_map<RequestId, Exchange*> by_id_;
+  // Request id of each open stream; empty until its request headers arrive.
+  std::unordered_map<StreamId, std::string> streams_;
+  std::unordered_map<std::string, std::unique_ptr<TrackedRequest>> requests_;
+  std::unordered_map<RequestId, TrackedRequest*> by_id_;
   Counts counts_;
 };
 
