--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -11,28 +11,28 @@
 namespace arrowfork::extproc {
 namespace {
 
-const char* const kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
-const char* const kCheck = "/grpc.health.v1.Health/Check";
-const char* const kWatch = "/grpc.health.v1.Health/Watch";
-const char* const kService = "envoy.service.ext_proc.v3.ExternalProcessor";
+const char* const kProcessPath = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
+const char* const kCheckPath = "/grpc.health.v1.Health/Check";
+const char* const kWatchPath = "/grpc.health.v1.Health/Watch";
+const char* const kServiceName = "envoy.service.ext_proc.v3.ExternalProcessor";
 
 using Health = ::grpc::health::v1::HealthCheckResponse;
 
-// How often health is told anew, idle connections are looked for and final answers forgotten.
-constexpr Micros kSweep = kSecond / 4;
-constexpr std::size_t kRead = 64u << 10;
+// Interval of health updates, connection timeout checks and expiry of final replies.
+constexpr Micros kHousekeepingInterval = kSecond / 4;
+constexpr std::size_t kReadBytes = 64u << 10;
 
 ProcessorOptions processor_options(const ExtProcSettings& s) {
   ProcessorOptions o;
-  auto take = [](std::string& to, const std::string& from) {
+  auto set_if_given = [](std::string& to, const std::string& from) {
     if (!from.empty()) to = from;
   };
-  take(o.key_header, s.key_header);
-  take(o.class_header, s.class_header);
-  take(o.tenant_header, s.tenant_header);
-  take(o.deadline_header, s.deadline_header);
-  take(o.id_header, s.id_header);
-  take(o.idempotency_header, s.idempotency_header);
+  set_if_given(o.key_header, s.key_header);
+  set_if_given(o.class_header, s.class_header);
+  set_if_given(o.tenant_header, s.tenant_header);
+  set_if_given(o.deadline_header, s.deadline_header);
+  set_if_given(o.id_header, s.id_header);
+  set_if_given(o.idempotency_header, s.idempotency_header);
   o.read_class = s.read_class;
   o.write_class = s.write_class;
   o.default_tenant = s.default_tenant;
@@ -48,9 +48,9 @@
       : server_(server),
         number_(number),
         fd_(std::move(fd)),
-        since_(server.clock_.now()),
-        born_(since_),
-        heard_at_(since_),
+        last_active_(server.clock_.now()),
+        connected_at_(last_active_),
+        last_received_(last_active_),
         session_(std::make_unique<grpc::ServerSession>(server.clock_, *this, server.limits_,
                                                        server.session_counts_)) {
     read_.reset(event_new(server.base_, fd_.get(), EV_READ | EV_PERSIST, on_read, this));
@@ -61,92 +61,92 @@
 
   // ServerSession::Handler
   void on_call(grpc::CallId call, const std::string& path, Micros) override {
-    if (path == kProcess) {
-      server_.processor_.on_open(stream(call));
-      if (server_.processor_.is_open(stream(call))) kinds_[call] = Kind::Process;
-    } else if (path == kCheck || path == kWatch) {
-      kinds_[call] = path == kCheck ? Kind::Check : Kind::Watch;
+    if (path == kProcessPath) {
+      server_.processor_.on_open(stream_id(call));
+      if (server_.processor_.is_open(stream_id(call))) call_kinds_[call] = Kind::Process;
+    } else if (path == kCheckPath || path == kWatchPath) {
+      call_kinds_[call] = path == kCheckPath ? Kind::Check : Kind::Watch;
     } else {
       session_->finish(call, grpc::Status::Unimplemented, path);
     }
   }
   void on_message(grpc::CallId call, std::string&& message) override {
-    auto kind = kinds_.find(call);
-    if (kind == kinds_.end()) return;
+    auto kind = call_kinds_.find(call);
+    if (kind == call_kinds_.end()) return;
     if (kind->second == Kind::Process)
-      server_.processor_.on_message(stream(call), message);
+      server_.processor_.on_message(stream_id(call), message);
     else
-      health(call, kind->second == Kind::Watch, message);
+      answer_health_request(call, kind->second == Kind::Watch, message);
   }
   void on_half_close(grpc::CallId call) override {
-    auto kind = kinds_.find(call);
-    if (kind == kinds_.end() || kind->second != Kind::Process) return;
-    kinds_.erase(kind);
-    server_.processor_.on_half_close(stream(call));
+    auto kind = call_kinds_.find(call);
+    if (kind == call_kinds_.end() || kind->second != Kind::Process) return;
+    call_kinds_.erase(kind);
+    server_.processor_.on_half_close(stream_id(call));
   }
   void on_aborted(grpc::CallId call) override {
     watches_.erase(call);
-    if (kinds_.erase(call)) server_.processor_.on_aborted(stream(call));
+    if (call_kinds_.erase(call)) server_.processor_.on_aborted(stream_id(call));
   }
 
   void send_message(grpc::CallId call, const std::string& bytes) {
     session_->send_message(call, bytes);
   }
   void finish(grpc::CallId call, grpc::Status status, const std::string& text) {
-    kinds_.erase(call);
+    call_kinds_.erase(call);
     session_->finish(call, status, text);
   }
   void go_away() { session_->go_away(); }
 
-  /// Tells the watchers where health has changed.
-  void sweep(bool serving) {
-    for (auto& [call, told] : watches_)
-      if (std::exchange(told, serving) != serving) tell_health(call, serving);
+  /// Reports health changes to watchers, and closes the connection if one of its timeouts expired.
+  void check_timeouts(bool serving) {
+    for (auto& [call, reported] : watches_)
+      if (std::exchange(reported, serving) != serving) send_health(call, serving);
     Micros now = server_.clock_.now();
-    if (session_->open_calls() > 0) since_ = now;
-    const ExtProcSettings& most = server_.settings_;
-    auto give_up = [&](bool due, std::uint64_t& count) {
-      if (!due || over_) return;
+    if (session_->open_calls() > 0) last_active_ = now;
+    const ExtProcSettings& settings = server_.settings_;
+    auto close_if = [&](bool expired, std::uint64_t& count) {
+      if (!expired || closed_) return;
       ++count;
-      over_ = true;
+      closed_ = true;
     };
-    give_up(stalled_since_ && now - stalled_since_ > most.stall_timeout,
-            server_.counts_.closed_stalled);
-    give_up(!session_->handshake_complete() && now - born_ > most.handshake_timeout,
-            server_.counts_.closed_half_open);
+    close_if(stalled_since_ && now - stalled_since_ > settings.stall_timeout,
+             server_.counts_.closed_stalled);
+    close_if(!session_->handshake_complete() && now - connected_at_ > settings.handshake_timeout,
+             server_.counts_.closed_half_open);
     if (session_->open_calls() == 0) return;
-    // A machine that has vanished says nothing, and its calls would stay for good.
-    if (!pinged_at_ && now - heard_at_ > most.keepalive_interval) {
+    // Without keepalive pings the calls of a machine that has vanished would stay open for ever.
+    if (!pinged_at_ && now - last_received_ > settings.keepalive_interval) {
       pinged_at_ = now;
       session_->ping();
     }
-    give_up(pinged_at_ && now - pinged_at_ > most.keepalive_timeout,
-            server_.counts_.closed_unresponsive);
+    close_if(pinged_at_ && now - pinged_at_ > settings.keepalive_timeout,
+             server_.counts_.closed_unresponsive);
   }
-  bool idle(Micros now, Micros most) const {
-    return session_->open_calls() == 0 && now - since_ > most;
+  bool is_idle(Micros now, Micros timeout) const {
+    return session_->open_calls() == 0 && now - last_active_ > timeout;
   }
 
-  /// Writes what the session has; false where the connection is over.
+  /// Writes the pending output of the session. Returns false if the connection has to be closed.
   bool flush() {
-    while (!over_) {
+    while (!closed_) {
       if (out_.empty()) {
-        if (!session_->send(out_)) ending_ = true;
+        if (!session_->send(out_)) closing_ = true;
         if (out_.empty()) break;
       }
-      ssize_t put = ::send(fd_.get(), out_.data(), out_.size(), MSG_NOSIGNAL);
-      if (put < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+      ssize_t written = ::send(fd_.get(), out_.data(), out_.size(), MSG_NOSIGNAL);
+      if (written < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
         session_->set_unsent_bytes(out_.size());
         if (!stalled_since_) stalled_since_ = server_.clock_.now();
         event_add(write_.get(), nullptr);
         return true;
       }
-      if (put < 0) return false;
+      if (written < 0) return false;
       stalled_since_ = 0;
-      out_.erase(0, static_cast<std::size_t>(put));
+      out_.erase(0, static_cast<std::size_t>(written));
       session_->set_unsent_bytes(out_.size());
     }
-    return !over_ && !ending_ && !session_->drained();
+    return !closed_ && !closing_ && !session_->drained();
   }
 
   bool dirty = false;
@@ -154,26 +154,26 @@
  private:
   enum class Kind { Process, Check, Watch };
 
-  StreamId stream(grpc::CallId call) const {
+  StreamId stream_id(grpc::CallId call) const {
     return static_cast<StreamId>(number_) << 32 | static_cast<std::uint32_t>(call);
   }
-  void tell_health(grpc::CallId call, bool serving) {
+  void send_health(grpc::CallId call, bool serving) {
     Health answer;
     answer.set_status(serving ? Health::SERVING : Health::NOT_SERVING);
     session_->send_message(call, answer.SerializeAsString());
   }
-  void health(grpc::CallId call, bool watch, const std::string& bytes) {
+  void answer_health_request(grpc::CallId call, bool watch, const std::string& bytes) {
     ::grpc::health::v1::HealthCheckRequest request;
     if (!request.ParseFromString(bytes)) {
       finish(call, grpc::Status::InvalidArgument, "no HealthCheckRequest");
       return;
     }
-    bool known = request.service().empty() || request.service() == kService;
+    bool known = request.service().empty() || request.service() == kServiceName;
     if (!watch) {
-      if (known) tell_health(call, server_.serving());
+      if (known) send_health(call, server_.serving());
       finish(call, known ? grpc::Status::Ok : grpc::Status::NotFound, known ? "" : "service");
     } else if (known && watches_.emplace(call, server_.serving()).second) {
-      tell_health(call, server_.serving());
+      send_health(call, server_.serving());
     } else if (!known) {
       Health answer;
       answer.set_status(Health::SERVICE_UNKNOWN);
@@ -183,21 +183,21 @@
 
   static void on_read(evutil_socket_t, short, void* self) {
     auto* c = static_cast<Connection*>(self);
-    char data[kRead];
-    ssize_t got = ::recv(c->fd_.get(), data, sizeof data, 0);
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-    if (got <= 0)
-      c->over_ = true;
-    else if (!c->session_->recv({data, static_cast<std::size_t>(got)}))
-      c->ending_ = true;
-    if (c->over_ || c->ending_) event_del(c->read_.get());
-    c->since_ = c->heard_at_ = c->server_.clock_.now();
+    char data[kReadBytes];
+    ssize_t size = ::recv(c->fd_.get(), data, sizeof data, 0);
+    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
+    if (size <= 0)
+      c->closed_ = true;
+    else if (!c->session_->recv({data, static_cast<std::size_t>(size)}))
+      c->closing_ = true;
+    if (c->closed_ || c->closing_) event_del(c->read_.get());
+    c->last_active_ = c->last_received_ = c->server_.clock_.now();
     c->pinged_at_ = 0;
-    c->server_.touch(*c);
+    c->server_.mark_dirty(*c);
   }
   static void on_write(evutil_socket_t, short, void* self) {
     auto* c = static_cast<Connection*>(self);
-    c->server_.touch(*c);
+    c->server_.mark_dirty(*c);
   }
 
   friend class Server;
@@ -206,15 +206,15 @@
   Fd fd_;
   EventPtr read_, write_;
   std::string out_;
-  bool over_ = false;    // the peer has ended it
-  bool ending_ = false;  // closes once what is due is written
+  bool closed_ = false;   // closed by the peer or after a timeout
+  bool closing_ = false;  // to be closed once the pending output is written
   Micros stalled_since_ = 0;
-  Micros since_;  // its connect, its last bytes, or its last open call
-  Micros born_, heard_at_;
-  Micros pinged_at_ = 0;  // unanswered since then; 0: none is
-  std::unordered_map<grpc::CallId, Kind> kinds_;
-  std::unordered_map<grpc::CallId, bool> watches_;  // what each was told last
-  std::unique_ptr<grpc::ServerSession> session_;    // its end tells of calls that are gone
+  Micros last_active_;  // when it connected, last received bytes or last had an open call
+  Micros connected_at_, last_received_;
+  Micros pinged_at_ = 0;  // time of the unanswered ping, 0 if there is none
+  std::unordered_map<grpc::CallId, Kind> call_kinds_;
+  std::unordered_map<grpc::CallId, bool> watches_;  // health last reported to each watch
+  std::unique_ptr<grpc::ServerSession> session_;    // its destructor reports aborted calls
 };
 
 Server::Server(event_base* base, const TimeSource& clock, Core& core,
@@ -241,9 +241,9 @@
   port_ = port_of(listener_);
   accept_event_.reset(event_new(base, listener_.get(), EV_READ | EV_PERSIST, on_accept, this));
   event_add(accept_event_.get(), nullptr);
-  sweep_event_.reset(event_new(base, -1, EV_PERSIST, on_sweep, this));
-  timeval every = timeval_of(kSweep);
-  event_add(sweep_event_.get(), &every);
+  housekeeping_event_.reset(event_new(base, -1, EV_PERSIST, on_housekeeping, this));
+  timeval interval = timeval_of(kHousekeepingInterval);
+  event_add(housekeeping_event_.get(), &interval);
 }
 
 Server::~Server() { connections_.clear(); }
@@ -261,24 +261,24 @@
   int on = 1;
   ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   ++s->counts_.connections;
-  std::uint32_t number = s->next_++;
+  std::uint32_t number = s->next_number_++;
   auto& c = s->connections_[number];
   c = std::make_unique<Connection>(*s, number, std::move(fd));
-  s->touch(*c);
+  s->mark_dirty(*c);
 }
 
-void Server::on_sweep(evutil_socket_t, short, void* self) {
+void Server::on_housekeeping(evutil_socket_t, short, void* self) {
   auto* s = static_cast<Server*>(self);
   s->processor_.expire_replies();
   Micros now = s->clock_.now();
   bool serving = s->serving();
   for (auto& [number, c] : s->connections_) {
-    c->sweep(serving);
-    if (c->idle(now, s->settings_.idle_timeout)) {
+    c->check_timeouts(serving);
+    if (c->is_idle(now, s->settings_.idle_timeout)) {
       ++s->counts_.closed_idle;
       c->go_away();
     }
-    s->touch(*c);
+    s->mark_dirty(*c);
   }
 }
 
@@ -315,7 +315,7 @@
   return all;
 }
 
-void Server::touch(Connection& c) {
+void Server::mark_dirty(Connection& c) {
   if (std::exchange(c.dirty, true)) return;
   dirty_.push_back(c.number_);
 }
@@ -330,20 +330,20 @@
   dirty_.clear();
 }
 
-Server::Connection* Server::connection_of(StreamId stream) {
+Server::Connection* Server::find_connection(StreamId stream) {
   auto at = connections_.find(static_cast<std::uint32_t>(stream >> 32));
   if (at == connections_.end()) return nullptr;
-  touch(*at->second);
+  mark_dirty(*at->second);
   return at->second.get();
 }
 
 void Server::send_message(StreamId stream, const std::string& bytes) {
-  if (Connection* c = connection_of(stream))
+  if (Connection* c = find_connection(stream))
     c->send_message(static_cast<grpc::CallId>(stream & 0xffffffff), bytes);
 }
 
 void Server::finish(StreamId stream, grpc::Status status, const std::string& text) {
-  if (Connection* c = connection_of(stream))
+  if (Connection* c = find_connection(stream))
     c->finish(static_cast<grpc::CallId>(stream & 0xffffffff), status, text);
 }
 
@@ -353,7 +353,7 @@
   listener_.reset();
   for (auto& [number, c] : connections_) {
     c->go_away();
-    touch(*c);
+    mark_dirty(*c);
   }
 }
 
--- a/src/extproc/server.hpp
+++ b/src/extproc/server.hpp
@@ -1,5 +1,5 @@
-// The external processor's listener and connections, on the router's loop: bytes between sockets,
-// gRPC sessions and the processor; and gRPC's health service.
+// The external processor's listener and connections, on the router's event loop. Passes bytes
+// between sockets, gRPC sessions and the processor, and implements the gRPC health service.
 #pragma once
 
 #include <memory>
@@ -16,8 +16,8 @@
 
 class Server final : public Frontend, Processor::Output {
  public:
-  /// Listens as `settings` say. Throws ConfigError naming the setting that can't be used, also
-  /// where the address is taken. Base, clock, core and fields outlive it.
+  /// Listens on the address in `settings`. Throws ConfigError with the name of the setting if the
+  /// address is invalid or in use. Base, clock, core and fields must outlive the server.
   Server(event_base* base, const TimeSource& clock, Core& core, const ExtProcSettings& settings,
          const std::vector<robinseam::ReportField>& fields,
          std::function<std::string(const std::string& server)> address_of);
@@ -31,8 +31,8 @@
   const Processor& processor() const { return processor_; }
   struct Counts {
     std::uint64_t connections = 0, rejected = 0, closed_idle = 0;
-    std::uint64_t closed_half_open = 0, closed_stalled = 0,
-                  closed_unresponsive = 0;  ///< closed for it
+    std::uint64_t closed_half_open = 0;  ///< handshake not complete in time
+    std::uint64_t closed_stalled = 0, closed_unresponsive = 0;
   };
   const Counts& counts() const { return counts_; }
   const grpc::ServerSession::Counts& session_counts() const { return session_counts_; }
@@ -40,11 +40,13 @@
  private:
   class Connection;
   static void on_accept(evutil_socket_t, short, void* self);
-  static void on_sweep(evutil_socket_t, short, void* self);
+  static void on_housekeeping(evutil_socket_t, short, void* self);
   void send_message(StreamId stream, const std::string& bytes) override;
   void finish(StreamId stream, grpc::Status status, const std::string& text) override;
-  Connection* connection_of(StreamId stream);
-  void touch(Connection& connection);
+  /// Finds the connection of a stream and marks it for flushing; null if it is closed.
+  Connection* find_connection(StreamId stream);
+  /// Schedules the connection for the next flush().
+  void mark_dirty(Connection& connection);
   bool serving() const;
 
   event_base* base_;
@@ -57,11 +59,11 @@
   Processor processor_;
   Fd listener_;
   std::uint16_t port_ = 0;
-  EventPtr accept_event_, sweep_event_;
+  EventPtr accept_event_, housekeeping_event_;
   bool draining_ = false;
-  std::uint32_t next_ = 1;
+  std::uint32_t next_number_ = 1;
   std::unordered_map<std::uint32_t, std::unique_ptr<Connection>> connections_;
-  std::vector<std::uint32_t> dirty_;
+  std::vector<std::uint32_t> dirty_;  // numbers of the connections to flush
 };
 
 }  // namespace arrowfork::extproc
