--- a/src/rig/demo.cpp
+++ b/src/rig/demo.cpp
@@ -89,7 +89,7 @@
     start_routers();
     Tills direct_meta(base_.get(), clock_, direct_options(false)),
         direct_binary(base_.get(), clock_, direct_options(true));
-    log_event("asks cache servers directly, for comparison");
+    log_event("tills call cache servers directly, for comparison");
     direct_meta.start(), direct_binary.start();
     run_loop(kDirectLoadTime);
     direct_meta.stop(), direct_binary.stop();
@@ -97,14 +97,14 @@
     Tills meta(base_.get(), clock_, router_options(false)),
         binary(base_.get(), clock_, router_options(true));
     tills_ = {&meta, &binary};
-    log_event("tills of both protocols ask the routers, " +
-              std::to_string(static_cast<int>(2 * options_.rate)) + " requests a second");
+    log_event("tills of both protocols call the routers, " +
+              std::to_string(static_cast<int>(2 * options_.rate)) + " requests per second");
     meta.start(), binary.start();
     MisbehavingTills misbehaving_meta(base_.get(), clock_, misbehaving_options(false)),
         misbehaving_binary(base_.get(), clock_, misbehaving_options(true));
     misbehaving_meta.start(), misbehaving_binary.start();
     CallingProxy proxy(proxy_options());
-    log_event("a calling proxy asks the external processors, one stream in 50 left without a word");
+    log_event("a proxy calls the external processors and abandons one stream in 50");
     proxy.start();
     run_loop(kSecond);
     if (options_.list_changes) change_list();
@@ -368,7 +368,7 @@
     for (auto& r : routers_)
       if (r->has_exited()) {
         std::fputs(r->log().c_str(), stderr);
-        throw std::runtime_error("a router has ended");
+        throw std::runtime_error("a router exited unexpectedly");
       }
   }
 
--- a/src/rig/storm.cpp
+++ b/src/rig/storm.cpp
@@ -87,7 +87,8 @@
       event_base_dispatch(base_.get());
       if (!stopping_)
         for (auto& r : routers_)
-          if (r->has_exited()) throw std::runtime_error("a router ended: " + r->log());
+          if (r->has_exited())
+            throw std::runtime_error("a router exited unexpectedly: " + r->log());
       check_servers();
     }
     return true;
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -28,7 +28,7 @@
 
 struct StormTills::ClientRequest {
   Request content;
-  emu::Second* second;
+  emu::Second* row;
   std::uint64_t number;
   int router, banner;
   Micros started_at, latency_objective, deadline;
@@ -141,7 +141,7 @@
       return release(false);
     }
     answered_before_ = true;
-    if (a.kind == Answer::Kind::Busy) ++tills_.counts_.refused, ++tills_.second_().refused;
+    if (a.kind == Answer::Kind::Busy) ++tills_.counts_.refused, ++tills_.current_row_().refused;
     bool served = a.kind == Answer::Kind::Value || a.kind == Answer::Kind::Stored;
     if (!served && a.kind != Answer::Kind::Busy) ++tills_.counts_.failed;
     tills_.notify_try_ended(try_id_, served                         ? TryResult::Served
@@ -178,14 +178,14 @@
 
 StormTills::StormTills(event_base* base, const TimeSource& clock, const emu::DayPlan& plan,
                        Routing routing, Micros slack, std::uint64_t seed,
-                       std::function<emu::Second&()> second)
+                       std::function<emu::Second&()> current_row)
     : base_(base),
       clock_(clock),
       plan_(plan),
       routing_(std::move(routing)),
       slack_(slack),
       demand_(plan.tills, plan.fleet, plan.settings, routing_.router_count, seed),
-      second_(std::move(second)),
+      current_row_(std::move(current_row)),
       last_try_id_(seed << 40),
       connections_(static_cast<std::size_t>(routing_.router_count)) {
   next_event_.reset(event_new(base, -1, 0, on_next, this));
@@ -245,7 +245,7 @@
   emu::Demand::First first = demand_.draw();
   const robinseam::ClassSettings& type = plan_.settings.classes[first.request.write];
   auto request = std::make_shared<ClientRequest>();
-  request->second = &second_();
+  request->row = &current_row_();
   request->number = ++requests_made_;
   request->router = choose_router(first.router);
   request->banner = first.banner;
@@ -255,7 +255,7 @@
   request->content = std::move(first.request);
   // Unique even if two storms run at the same time.
   if (request->content.write) request->content.idempotency = hex16(last_try_id_ + ++writes_);
-  ++request->second->asked;
+  ++request->row->asked;
   ++banners_[static_cast<std::size_t>(request->banner)].asked;
   requests_.push_back(request);
   send_try(request);
@@ -267,7 +267,7 @@
   if (std::exchange(request->sent_before, true) && routing_.retry_elsewhere)
     request->router = choose_router(-1);
   ++counts_.tries;
-  ++second_().tries;
+  ++current_row_().tries;
   Micros left = request->started_at + request->deadline - clock_.now();
   Micros timeout = std::min(
       left, static_cast<Micros>(plan_.tills.try_share * static_cast<double>(request->deadline)));
@@ -305,7 +305,7 @@
 
 void StormTills::end_request(const std::shared_ptr<ClientRequest>& request, bool served) {
   bool in_time = served && clock_.now() - request->started_at <= request->latency_objective;
-  emu::Second& s = *request->second;
+  emu::Second& s = *request->row;
   ++(in_time ? s.in_time : served ? s.late : s.unserved);
   banners_[static_cast<std::size_t>(request->banner)].served += served;
   if (routing_.observer) routing_.observer->on_request_done(request->number, served);
--- a/src/rig/storm_tills.hpp
+++ b/src/rig/storm_tills.hpp
@@ -17,6 +17,7 @@
 /// Generates requests and their retries, and counts how they end.
 class StormTills {
  public:
+  /// How a try ended.
   enum class TryResult {
     Served,
     Refused,
@@ -25,6 +26,7 @@
     Unreached,  ///< no router listened, or the connection closed as the try was sent
     Wrong,      ///< the answer was for another try or violates the protocol
   };
+  /// One try of a request.
   struct Try {
     std::uint64_t id = 0, request_id = 0;  ///< request_id is shared by all tries of a request
     int router = 0, number = 1;            ///< number of the try, from 1
@@ -34,7 +36,7 @@
   class Observer {
    public:
     virtual ~Observer() = default;
-    virtual void on_try_started(const Try& one) = 0;
+    virtual void on_try_started(const Try& started) = 0;
     virtual void on_try_ended(std::uint64_t id, TryResult result) = 0;
     /// The request has ended: it was served, or the till retries no more.
     virtual void on_request_done(std::uint64_t request_id, bool served) = 0;
@@ -50,10 +52,10 @@
     bool marks_retries = false;    ///< a retry is marked as one on the wire
     Observer* observer = nullptr;
   };
-  /// `second` returns the row of the current second; a request counts in the row of its first try.
-  /// `slack`: scheduling delay of the machine, on top of a try's timeout.
+  /// `current_row` returns the row of the current second; a request counts in the row of its first
+  /// try. `slack`: scheduling delay of the machine, on top of a try's timeout.
   StormTills(event_base* base, const TimeSource& clock, const emu::DayPlan& plan, Routing routing,
-             Micros slack, std::uint64_t seed, std::function<emu::Second&()> second);
+             Micros slack, std::uint64_t seed, std::function<emu::Second&()> current_row);
   ~StormTills();
 
   void start();
@@ -95,7 +97,7 @@
   Routing routing_;
   Micros slack_;
   emu::Demand demand_;
-  std::function<emu::Second&()> second_;
+  std::function<emu::Second&()> current_row_;
   EventPtr next_event_, sweep_event_, retry_event_;
   Micros next_start_ = 0;
   bool stopped_ = true;
