--- a/src/tier/stage.cpp
+++ b/src/tier/scenario_runner.cpp
@@ -1,4 +1,4 @@
-#include "stage.hpp"
+#include "scenario_runner.hpp"
 
 #include <signal.h>
 #include <sys/resource.h>
--- a/src/tier/tier.cpp
+++ b/src/tier/tier.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 
 #include "report.hpp"
-#include "stage.hpp"
+#include "scenario_runner.hpp"
 
 namespace arrowfork::tier {
 namespace {
