--- a/tests/extproc/processor_test.cpp
+++ b/tests/extproc/processor_test.cpp
@@ -1,4 +1,4 @@
-// The external processor on a core under a virtual clock, its callers played by the test.
+// Tests the external processor with a core on a virtual clock; the test acts as its callers.
 #include "extproc/processor.hpp"
 
 #include <gtest/gtest.h>
@@ -61,7 +61,8 @@
       h->set_raw_value(value);
     }
   }
-  StreamId ask(const std::string& id, const Fields& more = {}, const std::string& key = "k1") {
+  StreamId send_request(const std::string& id, const Fields& more = {},
+                        const std::string& key = "k1") {
     StreamId stream = ++last_stream_;
     processor_->on_open(stream);
     pb::ProcessingRequest request;
@@ -74,17 +75,18 @@
     core_->turn();
     return stream;
   }
-  void report(StreamId stream, const Fields& fields, const std::string& served_by = "") {
+  void send_report(StreamId stream, const Fields& fields, const std::string& served_endpoint = "") {
     pb::ProcessingRequest request;
     fill(*request.mutable_response_headers(), fields);
-    if (!served_by.empty()) {
+    if (!served_endpoint.empty()) {
       auto& lb = (*request.mutable_metadata_context()->mutable_filter_metadata())["envoy.lb"];
-      (*lb.mutable_fields())["x-gateway-destination-endpoint-served"].set_string_value(served_by);
+      (*lb.mutable_fields())["x-gateway-destination-endpoint-served"].set_string_value(
+          served_endpoint);
     }
     processor_->on_message(stream, request.SerializeAsString());
     core_->turn();
   }
-  /// The endpoint that the stream was told, "" for none, in header and metadata alike.
+  /// The endpoint sent on the stream, "" if none; checks that header and metadata agree.
   std::string endpoint(StreamId stream) {
     if (answers_[stream].empty() || !answers_[stream][0].has_request_headers()) return "";
     const auto& r = answers_[stream][0];
@@ -99,7 +101,7 @@
                                     : answers_[stream].back().immediate_response().status().code();
   }
   std::string body(StreamId stream) { return answers_[stream].back().immediate_response().body(); }
-  void pass(Micros span) {
+  void advance(Micros span) {
     Micros end = now_ + span;
     while (core_->next_timer() && core_->next_timer() <= end) {
       now_ = std::max(now_, core_->next_timer());
@@ -119,11 +121,11 @@
   std::map<StreamId, std::string> finished_;
 };
 
-TEST_F(ProcessorTest, ARequestIsToldItsEndpointAndItsOutcomeEndsIt) {
-  StreamId s = ask("r1");
+TEST_F(ProcessorTest, RequestGetsAnEndpointAndItsReportEndsIt) {
+  StreamId s = send_request("r1");
   EXPECT_EQ(endpoint(s).substr(0, 3), "at-");
   EXPECT_EQ(core_->open_requests(), 1u);
-  report(s, {{":status", "200"}, {"endpoint-load-metrics", "TEXT cpu_utilization=0.4"}});
+  send_report(s, {{":status", "200"}, {"endpoint-load-metrics", "TEXT cpu_utilization=0.4"}});
   EXPECT_TRUE(answers_[s].back().has_response_headers());
   EXPECT_EQ(core_->open_requests(), 0u);
   EXPECT_EQ(processor_->kept_requests(), 0u);
@@ -133,7 +135,7 @@
   EXPECT_EQ(processor_->open_streams(), 0u);
 }
 
-TEST_F(ProcessorTest, BadAndMissingFieldsAreNamed) {
+TEST_F(ProcessorTest, InvalidAndMissingHeadersAreNamed) {
   const std::pair<Fields, std::string> cases[] = {
       {{{"x-request-class", "none"}}, "x-request-class"},
       {{{"x-tenant", "a b"}}, "x-tenant"},
@@ -142,110 +144,110 @@
       {{{"idempotency-key", std::string(65, 'i')}}, "idempotency-key"},
       {{{"x-price-key", "a b"}}, "x-price-key"}};
   for (const auto& [fields, name] : cases) {
-    StreamId s = ask("b" + name, fields);
+    StreamId s = send_request("b" + name, fields);
     EXPECT_EQ(status(s), 400) << name;
     EXPECT_EQ(body(s), name);
   }
-  EXPECT_EQ(body(ask("", {})), "x-request-id");
-  EXPECT_EQ(body(ask("r", {}, "")), "x-price-key");
+  EXPECT_EQ(body(send_request("", {})), "x-request-id");
+  EXPECT_EQ(body(send_request("r", {}, "")), "x-price-key");
   EXPECT_EQ(core_->open_requests(), 0u);
   EXPECT_EQ(processor_->open_streams(), 0u);
 }
 
-TEST_F(ProcessorTest, WithNoServerItIsRefusedAndToldWhenToComeAgain) {
+TEST_F(ProcessorTest, WithoutServersTheRequestIsRefusedWithRetryAfter) {
   start(0, 10);
-  StreamId s = ask("r1");
+  StreamId s = send_request("r1");
   EXPECT_EQ(status(s), 429);
-  std::map<std::string, std::string> told;
+  std::map<std::string, std::string> headers;
   for (const auto& h : answers_[s].back().immediate_response().headers().set_headers())
-    told[h.header().key()] = h.header().raw_value();
-  EXPECT_GT(std::stoi(told["retry-after-ms"]), 0);
-  EXPECT_GT(std::stoi(told["retry-after"]), 0);
-  pass(kSecond);
+    headers[h.header().key()] = h.header().raw_value();
+  EXPECT_GT(std::stoi(headers["retry-after-ms"]), 0);
+  EXPECT_GT(std::stoi(headers["retry-after"]), 0);
+  advance(kSecond);
   EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
-TEST_F(ProcessorTest, AFurtherAttemptContinuesTheRequestElsewhere) {
-  StreamId first = ask("r1");
-  report(first, {{":status", "503"}, {"retry-after", "1"}});  // turned away unseen
+TEST_F(ProcessorTest, FurtherAttemptContinuesTheRequestOnAnotherServer) {
+  StreamId first = send_request("r1");
+  send_report(first, {{":status", "503"}, {"retry-after", "1"}});  // rejected, not run
   processor_->on_half_close(first);
-  StreamId second = ask("r1", {{"x-envoy-attempt-count", "2"}});
+  StreamId second = send_request("r1", {{"x-envoy-attempt-count", "2"}});
   EXPECT_NE(endpoint(second), "");
   EXPECT_NE(endpoint(second), endpoint(first));
-  report(second, {{":status", "200"}});
+  send_report(second, {{":status", "200"}});
   EXPECT_EQ(core_->open_requests(), 0u);
   EXPECT_EQ(core_->counts().requests, 1u);
 }
 
-TEST_F(ProcessorTest, AnAttemptGivenUpWithoutAWordMayHaveRun) {
-  Fields put = {{":method", "PUT"}};  // keyed class, no key: must not run twice
-  StreamId first = ask("w1", put);
+TEST_F(ProcessorTest, AttemptAbandonedWithoutAReportMayHaveRun) {
+  Fields put = {{":method", "PUT"}};  // keyed class without an idempotency key: must not run twice
+  StreamId first = send_request("w1", put);
   EXPECT_NE(endpoint(first), "");
   put.emplace_back("x-envoy-attempt-count", "2");
-  StreamId second = ask("w1", put);
+  StreamId second = send_request("w1", put);
   EXPECT_EQ(endpoint(second), "");
   EXPECT_EQ(status(second), 503);
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Cancelled)], 1u);
-  // With a key the servers drop the repeat.
+  // With an idempotency key the servers drop the duplicate.
   put = {{":method", "PUT"}, {"idempotency-key", "k"}};
-  StreamId third = ask("w2", put);
-  processor_->on_aborted(third);  // connection loss after the choice
+  StreamId third = send_request("w2", put);
+  processor_->on_aborted(third);  // connection lost after the endpoint was sent
   core_->turn();
   put.emplace_back("x-envoy-attempt-count", "2");
-  StreamId fourth = ask("w2", put);
+  StreamId fourth = send_request("w2", put);
   EXPECT_NE(endpoint(fourth), "");
   EXPECT_NE(endpoint(fourth), endpoint(third));
 }
 
-TEST_F(ProcessorTest, AFurtherAttemptOfAnUnknownWriteIsFailedUnlessItHasAKey) {
-  Fields again = {{":method", "PUT"}, {"x-envoy-attempt-count", "2"}};
-  EXPECT_EQ(status(ask("w1", again)), 503);
-  again.emplace_back("idempotency-key", "k");
-  EXPECT_NE(endpoint(ask("w2", again)), "");
-  EXPECT_NE(endpoint(ask("r1", {{"x-envoy-attempt-count", "2"}})), "");  // a read
+TEST_F(ProcessorTest, FurtherAttemptOfAnUnknownWriteFailsUnlessItHasAnIdempotencyKey) {
+  Fields second_attempt = {{":method", "PUT"}, {"x-envoy-attempt-count", "2"}};
+  EXPECT_EQ(status(send_request("w1", second_attempt)), 503);
+  second_attempt.emplace_back("idempotency-key", "k");
+  EXPECT_NE(endpoint(send_request("w2", second_attempt)), "");
+  EXPECT_NE(endpoint(send_request("r1", {{"x-envoy-attempt-count", "2"}})), "");  // a read
 }
 
-TEST_F(ProcessorTest, TheSameAttemptTwiceAtOnceIsTurnedDown) {
-  StreamId first = ask("r1");
-  StreamId twin = ask("r1");
+TEST_F(ProcessorTest, DuplicateAttemptIsRejected) {
+  StreamId first = send_request("r1");
+  StreamId twin = send_request("r1");
   EXPECT_EQ(status(twin), 400);
   EXPECT_EQ(body(twin), "x-request-id");
-  report(first, {{":status", "200"}});
+  send_report(first, {{":status", "200"}});
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Ok)], 1u);
 }
 
-TEST_F(ProcessorTest, AnOutcomeOfAnotherEndpointIsNotThisAttempts) {
-  StreamId s = ask("r1");
-  report(s, {{":status", "200"}}, "at-somewhere-else");
+TEST_F(ProcessorTest, ReportOfAnotherEndpointIsNotAttributedToTheAttempt) {
+  StreamId s = send_request("r1");
+  send_report(s, {{":status", "200"}}, "at-somewhere-else");
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Ok)], 0u);
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Spoilt)], 1u);
   EXPECT_EQ(processor_->counts().other_endpoint, 1u);
 }
 
-TEST_F(ProcessorTest, AnAttemptThatIsNeverReportedEndsWithItsTime) {
-  ask("r1");
-  pass(2 * kSecond);
+TEST_F(ProcessorTest, AttemptWithoutAReportEndsAtItsDeadline) {
+  send_request("r1");
+  advance(2 * kSecond);
   EXPECT_EQ(core_->open_requests(), 0u);
   EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
-TEST_F(ProcessorTest, ADeadlineThatIsOverIsAnsweredAtOnce) {
-  StreamId s = ask("r1", {{"x-envoy-expected-rq-timeout-ms", "0"}});
-  pass(100 * kMillisecond);
+TEST_F(ProcessorTest, ExpiredDeadlineIsAnsweredWithoutAnEndpoint) {
+  StreamId s = send_request("r1", {{"x-envoy-expected-rq-timeout-ms", "0"}});
+  advance(100 * kMillisecond);
   EXPECT_EQ(endpoint(s), "");
   EXPECT_NE(status(s), 0);
 }
 
-TEST_F(ProcessorTest, MessagesOutOfTurnAreErrorsAndUnknownOnesNothing) {
+TEST_F(ProcessorTest, MessagesOutOfOrderAreErrorsAndUnknownOnesAreIgnored) {
   StreamId s = ++last_stream_;
   processor_->on_open(s);
   processor_->on_message(s, std::string("\x9a\x01\x03"
                                         "abc",
                                         6));  // field 19, of a later version
   EXPECT_TRUE(finished_[s].empty());
-  report(s, {{":status", "200"}});
+  send_report(s, {{":status", "200"}});
   EXPECT_EQ(finished_[s], "3 response_headers came first");
-  StreamId t = ask("r1");
+  StreamId t = send_request("r1");
   pb::ProcessingRequest again;
   fill(*again.mutable_request_headers(), {{"x-request-id", "r2"}});
   processor_->on_message(t, again.SerializeAsString());
@@ -254,22 +256,23 @@
   processor_->on_open(u);
   processor_->on_message(u, "\xff\xff\xff");
   EXPECT_EQ(finished_[u], "3 no ProcessingRequest");
-  StreamId v = ask("r3");
+  StreamId v = send_request("r3");
   pb::ProcessingRequest body;
   body.mutable_request_body()->set_body("let through");
   processor_->on_message(v, body.SerializeAsString());
   EXPECT_TRUE(answers_[v].back().has_request_body());
 }
 
-TEST_F(ProcessorTest, StreamsAreBounded) {
+TEST_F(ProcessorTest, ConcurrentStreamsAreLimited) {
   for (int k = 0; k < 2000; ++k) processor_->on_open(++last_stream_);
   StreamId s = ++last_stream_;
   processor_->on_open(s);
   EXPECT_EQ(finished_[s], "8 too many streams");
 }
 
-// Abandoned at each point: before the headers, after the choice, in the response, twice, never.
-TEST_F(ProcessorTest, AbandonedCallsLeaveNothing) {
+// Callers abandon their streams before the headers, by half-closing after the request, after the
+// endpoint was sent, or after the report.
+TEST_F(ProcessorTest, AbandonedCallsLeaveNoState) {
   for (int k = 0; k < 100'000; ++k) {
     answers_.clear(), finished_.clear();
     std::string id = "a" + std::to_string(k);
@@ -278,54 +281,56 @@
       processor_->on_aborted(last_stream_);
       continue;
     }
-    StreamId s = ask(id, {}, "key" + std::to_string(k % 50));
+    StreamId s = send_request(id, {}, "key" + std::to_string(k % 50));
     if (k % 5 == 1) processor_->on_half_close(s);
-    if (k % 5 == 3) report(s, {{":status", k % 2 ? "200" : "500"}});
+    if (k % 5 == 3) send_report(s, {{":status", k % 2 ? "200" : "500"}});
     if (k % 5 != 1) processor_->on_aborted(s);
     core_->turn();
-    if (k % 10 == 0) pass(20 * kMillisecond);
+    if (k % 10 == 0) advance(20 * kMillisecond);
   }
   EXPECT_EQ(processor_->open_streams(), 0u);
-  pass(3 * kSecond);
+  advance(3 * kSecond);
   EXPECT_EQ(core_->open_requests(), 0u);
   EXPECT_EQ(processor_->kept_requests(), 0u);
 }
 
-// Protects against: what a caller does laid at the servers' door. One that takes choices and goes
-// away without a report says nothing of any server, so all others are served as before.
-class Abandoned : public ProcessorTest, public testing::WithParamInterface<bool> {};
-// Without copies each attempt has a patience, 8 ms here, that a caller knows nothing of: 200 calls
-// left after a burst of a slow caller were 250 time-outs, and a quarter of 2,000 good ones refused.
-TEST_P(Abandoned, CallsWithoutAReportShutNothing) {
+// Guards against blaming servers for what a caller does. A caller that takes endpoints and leaves
+// without a report says nothing about any server, so all other callers are served as before.
+class AbandonedCalls : public ProcessorTest, public testing::WithParamInterface<bool> {};
+// Without hedging each attempt has a timeout, 8 ms here, that the caller does not know. When it
+// counted against servers, 200 calls abandoned after a burst of a slow caller became 250 timeouts,
+// and a quarter of 2,000 good calls were refused.
+TEST_P(AbandonedCalls, CallsWithoutAReportDoNotCloseServersForOthers) {
   settings_.second_copies = GetParam();
   start(4, 1000);
-  for (int k = 0; k < 50; ++k) {  // servers known to be so quick that a copy is due in a moment
-    StreamId s = ask("quick" + std::to_string(k), {}, "key" + std::to_string(k));
-    pass(kMillisecond);
-    report(s, {{":status", "200"}});
+  // Fast answers first, so that a hedge would be due within a few milliseconds.
+  for (int k = 0; k < 50; ++k) {
+    StreamId s = send_request("quick" + std::to_string(k), {}, "key" + std::to_string(k));
+    advance(kMillisecond);
+    send_report(s, {{":status", "200"}});
     processor_->on_half_close(s);
   }
   for (int k = 0; k < 400; ++k) {
-    StreamId s = ask("gone" + std::to_string(k), {}, "key" + std::to_string(k));
-    pass(20 * kMillisecond);
+    StreamId s = send_request("gone" + std::to_string(k), {}, "key" + std::to_string(k));
+    advance(20 * kMillisecond);
     processor_->on_aborted(s);
     core_->turn();
   }
-  pass(2 * kSecond);
-  const auto& ends = core_->counts().outcomes;
-  EXPECT_EQ(ends[static_cast<std::size_t>(Status::Timeout)], 0u);
-  EXPECT_EQ(ends[static_cast<std::size_t>(Status::Cancelled)], 400u);
+  advance(2 * kSecond);
+  const auto& outcomes = core_->counts().outcomes;
+  EXPECT_EQ(outcomes[static_cast<std::size_t>(Status::Timeout)], 0u);
+  EXPECT_EQ(outcomes[static_cast<std::size_t>(Status::Cancelled)], 400u);
   int refused = 0;
   for (int k = 0; k < 500; ++k) {
-    StreamId s = ask("good" + std::to_string(k), {}, "other" + std::to_string(k));
+    StreamId s = send_request("good" + std::to_string(k), {}, "other" + std::to_string(k));
     refused += endpoint(s).empty();
-    if (!endpoint(s).empty()) report(s, {{":status", "200"}});
+    if (!endpoint(s).empty()) send_report(s, {{":status", "200"}});
     processor_->on_half_close(s);
-    pass(10 * kMillisecond);
+    advance(10 * kMillisecond);
   }
   EXPECT_EQ(refused, 0);
 }
-INSTANTIATE_TEST_SUITE_P(Copies, Abandoned, testing::Bool());
+INSTANTIATE_TEST_SUITE_P(Hedging, AbandonedCalls, testing::Bool());
 
 }  // namespace
 }  // namespace arrowfork::extproc
--- a/tests/grpc/caller.hpp
+++ b/tests/grpc/caller.hpp
@@ -1,4 +1,4 @@
-// A gRPC caller without I/O, for tests of the server's session: nghttp2's client side.
+// A gRPC client without I/O for tests of the server session, built on nghttp2's client side.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 class Caller {
  public:
-  struct Seen {
-    std::map<std::string, std::string> headers;  // trailers too
+  struct Response {
+    std::map<std::string, std::string> headers;  // and trailers
     std::string data;
     bool ended = false, closed = false;
     std::uint32_t error = 0;
@@ -29,7 +29,7 @@
                       std::size_t name_size, const std::uint8_t* value, std::size_t value_size,
                       std::uint8_t, void* self) {
           of(self)
-              .seen[frame->hd.stream_id]
+              .responses[frame->hd.stream_id]
               .headers[std::string(reinterpret_cast<const char*>(name), name_size)] =
               std::string(reinterpret_cast<const char*>(value), value_size);
           return 0;
@@ -37,7 +37,7 @@
     nghttp2_session_callbacks_set_on_data_chunk_recv_callback(
         callbacks, [](nghttp2_session*, std::uint8_t, std::int32_t id, const std::uint8_t* bytes,
                       std::size_t size, void* self) {
-          of(self).seen[id].data.append(reinterpret_cast<const char*>(bytes), size);
+          of(self).responses[id].data.append(reinterpret_cast<const char*>(bytes), size);
           return 0;
         });
     nghttp2_session_callbacks_set_on_frame_recv_callback(
@@ -47,13 +47,13 @@
             of(self).goaway_error = frame->goaway.error_code;
           }
           if (frame->hd.flags & NGHTTP2_FLAG_END_STREAM)
-            of(self).seen[frame->hd.stream_id].ended = true;
+            of(self).responses[frame->hd.stream_id].ended = true;
           return 0;
         });
     nghttp2_session_callbacks_set_on_stream_close_callback(
         callbacks, [](nghttp2_session*, std::int32_t id, std::uint32_t error, void* self) {
-          of(self).seen[id].closed = true;
-          of(self).seen[id].error = error;
+          of(self).responses[id].closed = true;
+          of(self).responses[id].error = error;
           return 0;
         });
     nghttp2_session_client_new(&session_, callbacks, this);
@@ -64,7 +64,7 @@
   Caller(const Caller&) = delete;
 
   using Headers = std::vector<std::pair<std::string, std::string>>;
-  /// Begins a call; it stays open for messages.
+  /// Starts a call that stays open for messages.
   std::int32_t call(const std::string& path, const Headers& more = {},
                     const std::string& type = "application/grpc",
                     const std::string& method = "POST") {
@@ -84,7 +84,7 @@
     body.read_callback = read_body;
     return nghttp2_submit_request(session_, nullptr, fields.data(), fields.size(), &body, nullptr);
   }
-  void bytes(std::int32_t id, const std::string& raw) {
+  void send_bytes(std::int32_t id, const std::string& raw) {
     out_[id] += raw;
     nghttp2_session_resume_data(session_, id);
   }
@@ -92,10 +92,10 @@
     std::string prefix(5, '\0');
     for (std::size_t k = 0; k < 4; ++k)
       prefix[1 + k] = static_cast<char>(text.size() >> (24 - 8 * k));
-    bytes(id, prefix + text);
+    send_bytes(id, prefix + text);
   }
   void half_close(std::int32_t id) {
-    ending_[id] = true;
+    half_closed_[id] = true;
     nghttp2_session_resume_data(session_, id);
   }
   void reset(std::int32_t id) {
@@ -115,10 +115,10 @@
                                        in.size()),
               static_cast<ssize_t>(in.size()));
   }
-  /// The messages of a call, whole ones.
+  /// The complete messages received on a call.
   std::vector<std::string> messages(std::int32_t id) {
     std::vector<std::string> all;
-    std::string_view data = seen[id].data;
+    std::string_view data = responses[id].data;
     while (data.size() >= 5) {
       std::size_t size = 0;
       for (std::size_t k = 1; k < 5; ++k) size = size << 8 | static_cast<unsigned char>(data[k]);
@@ -129,19 +129,20 @@
     return all;
   }
 
-  std::map<std::int32_t, Seen> seen;
+  std::map<std::int32_t, Response> responses;
   bool goaway = false;
   std::uint32_t goaway_error = 0;
 
  private:
   static Caller& of(void* self) { return *static_cast<Caller*>(self); }
-  static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* to, std::size_t most,
-                           std::uint32_t* flags, nghttp2_data_source*, void* self) {
+  static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* buffer,
+                           std::size_t max_size, std::uint32_t* flags, nghttp2_data_source*,
+                           void* self) {
     std::string& out = of(self).out_[id];
-    std::size_t size = std::min(most, out.size());
-    std::memcpy(to, out.data(), size);
+    std::size_t size = std::min(max_size, out.size());
+    std::memcpy(buffer, out.data(), size);
     out.erase(0, size);
-    if (out.empty() && of(self).ending_[id])
+    if (out.empty() && of(self).half_closed_[id])
       *flags |= NGHTTP2_DATA_FLAG_EOF;
     else if (size == 0)
       return NGHTTP2_ERR_DEFERRED;
@@ -149,7 +150,7 @@
   }
   nghttp2_session* session_ = nullptr;
   std::map<std::int32_t, std::string> out_;
-  std::map<std::int32_t, bool> ending_;
+  std::map<std::int32_t, bool> half_closed_;
 };
 
 }  // namespace arrowfork::test
--- a/tests/grpc/server_session_test.cpp
+++ b/tests/grpc/server_session_test.cpp
@@ -1,4 +1,4 @@
-// The gRPC server's session against nghttp2's client side, in memory.
+// Tests the gRPC server session against nghttp2's client side, in memory.
 #include "grpc/server_session.hpp"
 
 #include <random>
@@ -14,38 +14,38 @@
  protected:
   Micros now() const override { return now_; }
   void on_call(CallId call, const std::string& path, Micros timeout) override {
-    log_.push_back("call " + path + " " + std::to_string(timeout));
-    last_ = call;
-    ++open_;
+    events_.push_back("call " + path + " " + std::to_string(timeout));
+    last_call_ = call;
+    ++open_calls_;
   }
   void on_message(CallId call, std::string&& message) override {
-    log_.push_back("message " + message);
+    events_.push_back("message " + message);
     if (echo_) session_->send_message(call, "echo " + message);
-    if (finish_at_once_) session_->finish(call, Status::Unavailable, "no 100%\n"), --open_;
+    if (finish_on_message_) session_->finish(call, Status::Unavailable, "no 100%\n"), --open_calls_;
   }
   void on_half_close(CallId call) override {
-    log_.push_back("half");
+    events_.push_back("half");
     if (!echo_) return;
     session_->finish(call, Status::Ok);
-    --open_;
+    --open_calls_;
   }
   void on_aborted(CallId) override {
-    log_.push_back("gone");
-    --open_;
+    events_.push_back("gone");
+    --open_calls_;
   }
 
   void start() { session_ = std::make_unique<ServerSession>(*this, *this, limits_, counts_); }
-  /// Carries bytes both ways until none are left; false once the session is of no more use.
-  bool exchange(std::size_t part = 1u << 20) {
+  /// Passes bytes both ways until none are left; false once the session has failed.
+  bool exchange(std::size_t chunk_size = 1u << 20) {
     bool good = true;
     for (bool moved = true; moved;) {
       moved = false;
-      std::string there = caller_.send(), back;
-      for (std::size_t at = 0; at < there.size() && good; at += part)
-        good = session_->recv(std::string_view(there).substr(at, part));
-      good &= session_->send(back);
-      if (!back.empty()) caller_.recv(back);
-      moved = !there.empty() || !back.empty();
+      std::string request_bytes = caller_.send(), response_bytes;
+      for (std::size_t at = 0; at < request_bytes.size() && good; at += chunk_size)
+        good = session_->recv(std::string_view(request_bytes).substr(at, chunk_size));
+      good &= session_->send(response_bytes);
+      if (!response_bytes.empty()) caller_.recv(response_bytes);
+      moved = !request_bytes.empty() || !response_bytes.empty();
       if (!good) break;
     }
     return good;
@@ -55,93 +55,93 @@
   ServerSession::Limits limits_;
   ServerSession::Counts counts_;
   Caller caller_;
-  std::vector<std::string> log_;
-  CallId last_ = 0;
-  int open_ = 0;
-  bool echo_ = true, finish_at_once_ = false;
-  std::unique_ptr<ServerSession> session_;  // last: its end tells of calls that are gone
+  std::vector<std::string> events_;
+  CallId last_call_ = 0;
+  int open_calls_ = 0;
+  bool echo_ = true, finish_on_message_ = false;
+  std::unique_ptr<ServerSession> session_;  // declared last: its destructor calls on_aborted()
 };
 
-using Log = std::vector<std::string>;
+using Events = std::vector<std::string>;
 
-TEST_F(SessionTest, ACallsMessagesGoBothWaysAndItEnds) {
+TEST_F(SessionTest, CallExchangesMessagesAndFinishes) {
   start();
   auto id = caller_.call("/a.B/C", {{"grpc-timeout", "250m"}});
   caller_.send_message(id, "one");
   caller_.send_message(id, "");
   caller_.half_close(id);
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(log_, (Log{"call /a.B/C 250000", "message one", "message ", "half"}));
-  EXPECT_EQ(caller_.messages(id), (Log{"echo one", "echo "}));
-  EXPECT_EQ(caller_.seen[id].headers[":status"], "200");
-  EXPECT_EQ(caller_.seen[id].headers["grpc-status"], "0");
-  EXPECT_TRUE(caller_.seen[id].closed);
+  EXPECT_EQ(events_, (Events{"call /a.B/C 250000", "message one", "message ", "half"}));
+  EXPECT_EQ(caller_.messages(id), (Events{"echo one", "echo "}));
+  EXPECT_EQ(caller_.responses[id].headers[":status"], "200");
+  EXPECT_EQ(caller_.responses[id].headers["grpc-status"], "0");
+  EXPECT_TRUE(caller_.responses[id].closed);
   EXPECT_EQ(session_->open_calls(), 0u);
   EXPECT_EQ(counts_.finished, 1u);
 }
 
-TEST_F(SessionTest, BytesInAnyPartsMakeTheSame) {
-  for (std::size_t part : {1u, 2u, 3u, 7u, 100u}) {
-    log_.clear();
+TEST_F(SessionTest, EventsDoNotDependOnHowBytesAreSplit) {
+  for (std::size_t chunk_size : {1u, 2u, 3u, 7u, 100u}) {
+    events_.clear();
     start();
     Caller fresh;
     std::string bytes;
     auto id = fresh.call("/a.B/C");
     fresh.send_message(id, std::string(1000, 'x'));
     fresh.half_close(id);
-    std::string there = fresh.send(), back;
-    for (std::size_t at = 0; at < there.size(); at += part)
-      ASSERT_TRUE(session_->recv(std::string_view(there).substr(at, part)));
-    ASSERT_TRUE(session_->send(back));
-    EXPECT_EQ(log_, (Log{"call /a.B/C 0", "message " + std::string(1000, 'x'), "half"}));
+    std::string request_bytes = fresh.send(), response_bytes;
+    for (std::size_t at = 0; at < request_bytes.size(); at += chunk_size)
+      ASSERT_TRUE(session_->recv(std::string_view(request_bytes).substr(at, chunk_size)));
+    ASSERT_TRUE(session_->send(response_bytes));
+    EXPECT_EQ(events_, (Events{"call /a.B/C 0", "message " + std::string(1000, 'x'), "half"}));
   }
 }
 
-TEST_F(SessionTest, AMessageComesOnlyWhenItIsWhole) {
+TEST_F(SessionTest, MessageIsDeliveredOnlyWhenComplete) {
   start();
   auto id = caller_.call("/a.B/C");
-  caller_.bytes(id, std::string("\0\0\0\0\5he", 7));
+  caller_.send_bytes(id, std::string("\0\0\0\0\5he", 7));
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(log_.size(), 1u);
-  caller_.bytes(id, "llo");
+  EXPECT_EQ(events_.size(), 1u);
+  caller_.send_bytes(id, "llo");
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(log_.back(), "message hello");
+  EXPECT_EQ(events_.back(), "message hello");
 }
 
-TEST_F(SessionTest, AStatusAndItsTextAreTold) {
+TEST_F(SessionTest, StatusAndMessageReachTheCaller) {
   echo_ = false;
-  finish_at_once_ = true;
+  finish_on_message_ = true;
   start();
   auto id = caller_.call("/a.B/C");
   caller_.send_message(id, "x");
   caller_.send_message(id, "never seen");
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(caller_.seen[id].headers["grpc-status"], "14");
-  EXPECT_EQ(caller_.seen[id].headers["grpc-message"], "no 100%25%0A");
-  EXPECT_TRUE(caller_.seen[id].closed);  // though the caller has not half-closed
+  EXPECT_EQ(caller_.responses[id].headers["grpc-status"], "14");
+  EXPECT_EQ(caller_.responses[id].headers["grpc-message"], "no 100%25%0A");
+  EXPECT_TRUE(caller_.responses[id].closed);  // although the caller has not half-closed
   EXPECT_EQ(session_->open_calls(), 0u);
-  EXPECT_EQ(log_, (Log{"call /a.B/C 0", "message x"}));
-  EXPECT_EQ(open_, 0);
+  EXPECT_EQ(events_, (Events{"call /a.B/C 0", "message x"}));
+  EXPECT_EQ(open_calls_, 0);
 }
 
-TEST_F(SessionTest, ACallIsGoneByResetAndByTheConnectionsEnd) {
+TEST_F(SessionTest, ResetAndConnectionLossAbortCalls) {
   echo_ = false;
   start();
   auto first = caller_.call("/a.B/C");
   caller_.call("/a.B/C");
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(open_, 2);
+  EXPECT_EQ(open_calls_, 2);
   caller_.reset(first);
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(open_, 1);
+  EXPECT_EQ(open_calls_, 1);
   session_->send_message(first, "nobody");  // ignored
   session_->finish(first, Status::Ok);
   session_.reset();
-  EXPECT_EQ(open_, 0);
+  EXPECT_EQ(open_calls_, 0);
   EXPECT_EQ(counts_.aborted, 2u);
 }
 
-TEST_F(SessionTest, WhatIsNoGrpcCallIsToldSo) {
+TEST_F(SessionTest, RequestsThatAreNotValidGrpcCallsAreRejected) {
   start();
   auto plain = caller_.call("/a.B/C", {}, "text/plain");
   auto none = caller_.call("/a.B/C", {}, "");
@@ -150,47 +150,47 @@
   auto encoded = caller_.call("/a.B/C", {{"grpc-encoding", "gzip"}});
   auto longer = caller_.call("/" + std::string(300, 'p'));
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(caller_.seen[plain].headers[":status"], "415");
-  EXPECT_EQ(caller_.seen[none].headers[":status"], "415");
-  EXPECT_EQ(caller_.seen[get].headers[":status"], "405");
-  EXPECT_EQ(caller_.seen[timeout].headers["grpc-status"], "3");
-  EXPECT_EQ(caller_.seen[encoded].headers["grpc-status"], "12");
-  EXPECT_EQ(caller_.seen[longer].headers["grpc-status"], "3");
+  EXPECT_EQ(caller_.responses[plain].headers[":status"], "415");
+  EXPECT_EQ(caller_.responses[none].headers[":status"], "415");
+  EXPECT_EQ(caller_.responses[get].headers[":status"], "405");
+  EXPECT_EQ(caller_.responses[timeout].headers["grpc-status"], "3");
+  EXPECT_EQ(caller_.responses[encoded].headers["grpc-status"], "12");
+  EXPECT_EQ(caller_.responses[longer].headers["grpc-status"], "3");
   EXPECT_EQ(counts_.not_grpc, 3u);
-  EXPECT_TRUE(log_.empty());
+  EXPECT_TRUE(events_.empty());
 }
 
-TEST_F(SessionTest, TooLongAMessageEndsItsCallAlone) {
+TEST_F(SessionTest, TooLongMessageEndsOnlyItsCall) {
   limits_.message_bytes = 100;
   start();
   auto id = caller_.call("/a.B/C"), other = caller_.call("/a.B/D");
-  caller_.bytes(id, std::string("\0\x7f\xff\xff\xff", 5));  // says 2 GB
+  caller_.send_bytes(id, std::string("\0\x7f\xff\xff\xff", 5));  // announces 2 GB
   caller_.send_message(other, "fine");
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(caller_.seen[id].headers["grpc-status"], "8");
-  EXPECT_EQ(caller_.messages(other), Log{"echo fine"});
+  EXPECT_EQ(caller_.responses[id].headers["grpc-status"], "8");
+  EXPECT_EQ(caller_.messages(other), Events{"echo fine"});
   EXPECT_EQ(counts_.messages_too_long, 1u);
-  EXPECT_EQ(open_, 1);
+  EXPECT_EQ(open_calls_, 1);
 }
 
-TEST_F(SessionTest, TooLongHeadersResetTheirCallAlone) {
+TEST_F(SessionTest, TooLongHeadersResetOnlyTheirCall) {
   start();
   auto id = caller_.call("/a.B/C", {{"x-long", std::string(20'000, 'h')}});
   auto other = caller_.call("/a.B/D");
   caller_.send_message(other, "fine");
   EXPECT_TRUE(exchange());
-  EXPECT_TRUE(caller_.seen[id].closed);
-  EXPECT_NE(caller_.seen[id].error, 0u);
-  EXPECT_EQ(caller_.messages(other), Log{"echo fine"});
+  EXPECT_TRUE(caller_.responses[id].closed);
+  EXPECT_NE(caller_.responses[id].error, 0u);
+  EXPECT_EQ(caller_.messages(other), Events{"echo fine"});
   EXPECT_EQ(counts_.headers_too_long, 1u);
 }
 
-TEST_F(SessionTest, AHeaderBlockOfAMegabyteEndsTheConnection) {
+TEST_F(SessionTest, HeaderBlockOfAMegabyteClosesTheConnection) {
   start();
   std::string hello = caller_.send(), out;
   ASSERT_TRUE(session_->recv(hello));
   ASSERT_TRUE(session_->send(out));
-  // HEADERS without END_HEADERS, then CONTINUATION without end: literals of 16,000 bytes each.
+  // HEADERS without END_HEADERS, then CONTINUATION without an end: literals of 16,000 bytes each.
   auto frame = [](unsigned type, unsigned flags, const std::string& payload) {
     std::string f;
     for (int shift : {16, 8, 0}) f.push_back(static_cast<char>(payload.size() >> shift));
@@ -205,42 +205,42 @@
   for (int k = 0; k < 64 && good; ++k) good = session_->recv(frame(9, 0, field));
   bool write = session_->send(out);
   EXPECT_FALSE(good && write);
-  EXPECT_EQ(open_, 0);
+  EXPECT_EQ(open_calls_, 0);
 }
 
-TEST_F(SessionTest, MoreCallsThanTheLimitAreRefusedUnseen) {
+TEST_F(SessionTest, ConcurrentCallsAreLimited) {
   limits_.max_streams = 3;
   echo_ = false;
   start();
-  EXPECT_TRUE(exchange());  // its settings are known
+  EXPECT_TRUE(exchange());  // so that the client knows the server's settings
   std::vector<std::int32_t> ids;
   for (int k = 0; k < 5; ++k) ids.push_back(caller_.call("/a.B/C"));
   EXPECT_TRUE(exchange());
-  EXPECT_EQ(open_, 3);  // the client's side of nghttp2 keeps the others back
-  session_->finish(last_, Status::Ok);
+  EXPECT_EQ(open_calls_, 3);  // nghttp2's client side holds the others back
+  session_->finish(last_call_, Status::Ok);
   EXPECT_TRUE(exchange());
 }
 
-TEST_F(SessionTest, RapidResetsSendTheConnectionAway) {
+TEST_F(SessionTest, RapidResetsCloseTheConnection) {
   limits_.resets_per_s = 50;
   echo_ = false;
   start();
   bool good = true;
-  int begun = 0;
-  for (; begun < 100'000 && good; ++begun) {
+  int started = 0;
+  for (; started < 100'000 && good; ++started) {
     auto id = caller_.call("/a.B/C");
     good = exchange();
     caller_.reset(id);
     good = good && exchange();
   }
-  EXPECT_LE(begun, 60);
+  EXPECT_LE(started, 60);
   EXPECT_EQ(counts_.rapid_resets, 1u);
   EXPECT_TRUE(caller_.goaway);
   EXPECT_EQ(caller_.goaway_error, static_cast<std::uint32_t>(NGHTTP2_ENHANCE_YOUR_CALM));
-  EXPECT_EQ(open_, 0);
+  EXPECT_EQ(open_calls_, 0);
 }
 
-TEST_F(SessionTest, ResetsNowAndThenAreNoFlood) {
+TEST_F(SessionTest, OccasionalResetsAreAccepted) {
   limits_.resets_per_s = 5;
   echo_ = false;
   start();
@@ -251,10 +251,10 @@
     ASSERT_TRUE(exchange());
     now_ += kSecond / 4;
   }
-  EXPECT_EQ(open_, 0);
+  EXPECT_EQ(open_calls_, 0);
 }
 
-TEST_F(SessionTest, PingsAreAnsweredAndAFloodOfThemSendsAway) {
+TEST_F(SessionTest, PingsAreAnsweredAndAPingFloodClosesTheConnection) {
   start();
   caller_.ping();
   EXPECT_TRUE(exchange());
@@ -267,7 +267,7 @@
   EXPECT_EQ(counts_.ping_floods, 1u);
 }
 
-TEST_F(SessionTest, AReaderTooSlowIsGivenUp) {
+TEST_F(SessionTest, SlowReaderIsDisconnected) {
   limits_.out_bytes = 10'000;
   echo_ = false;
   start();
@@ -278,29 +278,29 @@
   int sent = 0;
   for (; sent < 1000 && good; ++sent) {
     session_->send_message(id, std::string(100, 'm'));
-    good = session_->send(out);  // and nothing of it is read: no window comes back
+    good = session_->send(out);  // the peer reads nothing, so no WINDOW_UPDATE arrives
     session_->set_unsent_bytes(static_cast<std::size_t>(sent) * 105);
   }
   EXPECT_LT(sent, 150);
   EXPECT_EQ(counts_.slow_readers, 1u);
 }
 
-TEST_F(SessionTest, ACallerThatAsksOnAndReadsNothingIsGivenUp) {
+TEST_F(SessionTest, CallerThatKeepsSendingButNeverReadsIsDisconnected) {
   limits_.out_bytes = 10'000;
   start();
   auto id = caller_.call("/a.B/C");
   EXPECT_TRUE(exchange());
   bool good = true;
-  int asked = 0;
-  for (; asked < 1000 && good; ++asked) {  // nothing of what it is owed is taken off the session
+  int requests = 0;
+  for (; requests < 1000 && good; ++requests) {  // the answers are never taken from the session
     caller_.send_message(id, std::string(95, 'm'));
     good = session_->recv(caller_.send());
   }
-  EXPECT_LT(asked, 120);
+  EXPECT_LT(requests, 120);
   EXPECT_EQ(counts_.slow_readers, 1u);
 }
 
-TEST_F(SessionTest, GoingAwayFinishesWhatIsOpen) {
+TEST_F(SessionTest, OpenCallsFinishAfterGoAway) {
   start();
   auto id = caller_.call("/a.B/C");
   caller_.send_message(id, "one");
@@ -312,11 +312,11 @@
   caller_.send_message(id, "two");
   caller_.half_close(id);
   exchange();
-  EXPECT_EQ(caller_.messages(id), (Log{"echo one", "echo two"}));
+  EXPECT_EQ(caller_.messages(id), (Events{"echo one", "echo two"}));
   EXPECT_TRUE(session_->drained());
 }
 
-TEST_F(SessionTest, GarbageEndsTheConnectionAndHarmsNothing) {
+TEST_F(SessionTest, CorruptedBytesCloseTheConnectionAndLeaveNoOpenCalls) {
   std::mt19937_64 random(9);
   for (int round = 0; round < 3000; ++round) {
     start();
@@ -330,12 +330,12 @@
       (void)session_->recv(std::string_view(bytes).substr(cut));
     (void)session_->send(out);
     session_.reset();
-    ASSERT_EQ(open_, 0);
+    ASSERT_EQ(open_calls_, 0);
   }
   EXPECT_GT(counts_.protocol_errors + counts_.not_grpc, 100u);
 }
 
-TEST(GrpcTimeout, IsReadAsTheSpecificationSays) {
+TEST(GrpcTimeout, IsParsedAsSpecified) {
   EXPECT_EQ(parse_timeout("1H"), 3600 * kSecond);
   EXPECT_EQ(parse_timeout("2M"), 120 * kSecond);
   EXPECT_EQ(parse_timeout("3S"), 3 * kSecond);
--- a/tests/interop/calls.mjs
+++ b/tests/interop/calls.mjs
@@ -1,4 +1,4 @@
-// Calls the external processor by @grpc/grpc-js and says which checks hold.
+// Calls the external processor with @grpc/grpc-js and reports the result of each check.
 // node calls.mjs PORT PROTO_FOLDER
 import grpc from '@grpc/grpc-js';
 import loader from '@grpc/proto-loader';
@@ -26,7 +26,8 @@
 const within = (promise, what) =>
   Promise.race([promise, new Promise((_, no) => setTimeout(() => no(new Error(`${what}: no answer`)), 20000))]);
 
-/// One stream: `messages` in turn, each but the first after the answer to the one before.
+/// Runs one stream: sends `messages` in order, each after the answer to the previous one. Cancels
+/// the stream after `leave` answers, if given.
 function stream(messages, leave) {
   return within(new Promise((done) => {
     const call = processor.Process();
@@ -51,7 +52,7 @@
     .map((one) => one.header.raw_value.toString())[0];
 const refusal = (answer) => answer?.immediate_response?.status?.code;
 
-// proto-loader gives enums by number or name as the options say; both are taken.
+// Depending on its options, proto-loader returns enums as numbers or names; both are accepted.
 const code = (value) => ({BadRequest: 400, TooManyRequests: 429, ServiceUnavailable: 503})[value] ?? Number(value);
 
 let serial = 0;
@@ -76,7 +77,7 @@
 r = await stream([response({})]);
 check('a report before any request ends the stream with INVALID_ARGUMENT', r.code === grpc.status.INVALID_ARGUMENT, r);
 
-// A further attempt on a new stream goes elsewhere.
+// A further attempt on a new stream gets another endpoint.
 const again = id();
 r = await stream([request({'x-request-id': again, 'x-price-key': 'k2'}), response({':status': '500'})]);
 const first = endpoint(r.answers[0]);
@@ -84,7 +85,7 @@
 check('a further attempt is told another endpoint, or refused',
       (endpoint(r.answers[0]) ?? 'refused') !== first, [first, r]);
 
-// Left without a word at each point, many at a time; nothing of them may stay.
+// Many streams at once, cancelled without a report at each point; they must leave no state behind.
 for (const leave of [0, 1]) {
   const all = await Promise.all(Array.from({length: 200}, (_, k) =>
     stream([request({'x-request-id': id(), 'x-price-key': `left${k}`}), response({})], leave)));
--- a/tests/interop/run.sh
+++ b/tests/interop/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# A router with the external processor, called by a gRPC client of another code base.
+# Starts a router with the external processor and calls it with an independent gRPC implementation.
 # run.sh WHEELDEAL PROTO_FOLDER WORK_FOLDER
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
