--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -6,25 +6,25 @@
 namespace arrowfork {
 namespace {
 
-// A request that the module has left open this long after its time gets its answer all the same.
-constexpr Micros kLastAnswer = 15 * kMillisecond;
-// A client that ends its sending may have gone: nothing may begin for it 0.1 s later. What is out
-// has half of that to get to its server, for one that only said that this was all.
-constexpr Micros kLeftGrace = 50 * kMillisecond;
-// An attempt that could not be ended when its patience was over is looked at again this often.
-constexpr Micros kEndAgain = 20 * kMillisecond;
-// What is over, where it is not an attempt.
-constexpr int kClient = -1, kLastGuard = -2, kLeftGuard = -3;
-
-Micros longest_of(const std::vector<robinseam::ClassSettings>& classes) {
+// A request that the balancer leaves open for this long after its deadline is failed.
+constexpr Micros kReplyGuardDelay = 15 * kMillisecond;
+// A client that shuts down its sending side may be gone, so nothing may begin for it 0.1 s later.
+// Attempts in flight have half of that to reach their server, in case the client still reads.
+constexpr Micros kHalfClosedGrace = 50 * kMillisecond;
+// Interval at which stopping an attempt after its timeout is tried again.
+constexpr Micros kStopRetryInterval = 20 * kMillisecond;
+// Values of Timer::attempt for timers that are not the timeout of an attempt.
+constexpr int kRequestDeadline = -1, kReplyGuard = -2, kHalfClosedGuard = -3;
+
+Micros longest_deadline_of(const std::vector<robinseam::ClassSettings>& classes) {
   Micros longest = 0;
   for (const auto& one : classes) longest = std::max(longest, one.deadline);
   return longest;
 }
 
-/// SplitMix64's finalizer (Steele, Lea and Flood, OOPSLA 2014): a bijection, so that a counter
-/// never gives the same twice.
-std::uint64_t mixed(std::uint64_t z) {
+/// SplitMix64's finalizer (Steele, Lea and Flood, OOPSLA 2014). It is a bijection, so a counter
+/// never yields the same value twice.
+std::uint64_t mix_bits(std::uint64_t z) {
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
   return z ^ (z >> 31);
@@ -33,38 +33,38 @@
 }  // namespace
 
 Core::Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
-           ListSource& lister, std::size_t max_open, std::size_t max_ids,
+           ListSource& list_source, std::size_t max_open, std::size_t max_ids,
            const robinseam::limits::RuleMaker& rules)
     : clock_(clock),
-      lister_(lister),
+      list_source_(list_source),
       classes_(settings.classes),
-      aside_(settings.aside),
-      second_copies_(settings.second_copies),
-      longest_deadline_(longest_of(settings.classes)),
+      cache_aside_(settings.aside),
+      may_hedge_(settings.second_copies),
+      longest_deadline_(longest_deadline_of(settings.classes)),
       balancer_(settings, seed, clock.now(), rules),
-      id_seed_(mixed(seed)),
+      id_seed_(mix_bits(seed)),
       max_open_(max_open),
       max_ids_(max_ids) {
   counts_.replies_by_class.resize(classes_.size());
 }
 
-void Core::start(std::vector<robinseam::Server> known, bool doubted) {
+void Core::start(std::vector<robinseam::Server> known, bool unverified) {
   Micros now = clock_.now();
-  perform("start", 0, now, balancer_.start(now));
+  apply_actions("start", 0, now, balancer_.start(now));
   using Scope = robinseam::ListScope;
-  on_list(doubted ? Scope::Doubted : Scope::Cached, std::move(known));
+  on_list(unverified ? Scope::Doubted : Scope::Cached, std::move(known));
 }
 
 // ---- requests ----
 
-Core::SubmitResult Core::submit(Request&& request, ReplySink& sink, AttemptSender& carrier,
+Core::SubmitResult Core::submit(Request&& request, ReplySink& sink, AttemptSender& sender,
                                 RequestId& id) {
-  const robinseam::ClassSettings* type = find_class(request.class_name);
-  if (!type || (type->effect == robinseam::Effect::Keyed && !request.write))
+  const robinseam::ClassSettings* request_class = find_class(request.class_name);
+  if (!request_class || (request_class->effect == robinseam::Effect::Keyed && !request.write))
     return SubmitResult::InvalidClass;
-  bool own_id = request.id.empty();  // never twice the same, so that none need be remembered
-  if (!own_id && id_taken(request.id)) return SubmitResult::IdInUse;
-  if (open_.size() >= max_open_ || (!own_id && ids_[0].size() >= max_ids_)) {
+  bool own_id = request.id.empty();  // make_id() never repeats an id, so these are not recorded
+  if (!own_id && is_id_in_use(request.id)) return SubmitResult::IdInUse;
+  if (open_.size() >= max_open_ || (!own_id && recent_ids_[0].size() >= max_ids_)) {
     record_refused(request.class_name);
     return SubmitResult::TableFull;
   }
@@ -73,18 +73,17 @@
   if (own_id)
     request.id = make_id();
   else
-    note_id(request.id);
+    record_id(request.id);
   id = next_id_++;
   Open& open = open_[id];
   open.sink = &sink;
-  open.carrier = &carrier;
-  // No client waits longer than its class allows; a longer time would only keep what is kept for
-  // it.
-  open.deadline = clock_.now() + std::min(request.time_left, type->deadline);
-  // Nor is any work longer than the patience for it: such a hint would upset the module's means.
-  request.deduplicated = request.write && !request.idempotency_key.empty() &&
-                         carrier.supports_idempotency_key(request);
-  if (request.work) request.work = std::min(*request.work, type->deadline);
+  open.sender = &sender;
+  // A request stays open no longer than its class allows; a longer time would only hold its memory.
+  open.deadline = clock_.now() + std::min(request.time_left, request_class->deadline);
+  // A work hint beyond the deadline would distort the balancer's mean values.
+  request.deduplicated =
+      request.write && !request.idempotency_key.empty() && sender.supports_idempotency_key(request);
+  if (request.work) request.work = std::min(*request.work, request_class->deadline);
   open.request = std::move(request);
   events_.push_back(RequestEvent{id});
   return SubmitResult::Accepted;
@@ -92,26 +91,26 @@
 
 std::string Core::make_id() {
   constexpr char kHex[] = "0123456789abcdef";
-  std::uint64_t bits = mixed(id_seed_++);
+  std::uint64_t bits = mix_bits(id_seed_++);
   std::string id(16, '0');
   for (char& c : id) c = kHex[bits >> 60], bits <<= 4;
   return id;
 }
 
-/// An id that is out twice could be answered with the other's value, and cache servers take the
-/// second one for a copy of the first. Those of requests that have just ended count as well: a copy
-/// sent while the first was open may be read after it.
-bool Core::id_taken(const std::string& id) const {
-  return ids_[0].count(id) > 0 || ids_[1].count(id) > 0;
+/// Of two open requests with one id, one could be answered with the other's value, and cache
+/// servers would take the second for a hedge of the first. Ids of requests that have just ended
+/// count as well: a hedge sent while the request was open may be read after its end.
+bool Core::is_id_in_use(const std::string& id) const {
+  return recent_ids_[0].count(id) > 0 || recent_ids_[1].count(id) > 0;
 }
 
-void Core::note_id(const std::string& id) {
+void Core::record_id(const std::string& id) {
   Micros now = clock_.now();
-  if (now - ids_since_ > longest_deadline_) {
-    ids_[1] = std::exchange(ids_[0], {});
-    ids_since_ = now;
+  if (now - ids_rotated_at_ > longest_deadline_) {
+    recent_ids_[1] = std::exchange(recent_ids_[0], {});
+    ids_rotated_at_ = now;
   }
-  ids_[0].insert(id);
+  recent_ids_[0].insert(id);
 }
 
 const robinseam::ClassSettings* Core::find_class(const std::string& name) const {
@@ -120,41 +119,42 @@
   return nullptr;
 }
 
-Core::Counts::Replies* Core::replies_of(const std::string& type) {
-  const robinseam::ClassSettings* c = find_class(type);
+Core::Counts::Replies* Core::replies_of(const std::string& class_name) {
+  const robinseam::ClassSettings* c = find_class(class_name);
   return c ? &counts_.replies_by_class[static_cast<std::size_t>(c - classes_.data())] : nullptr;
 }
 
-void Core::record_refused(const std::string& type) {
-  if (Counts::Replies* ends = replies_of(type)) ++ends->refused;
+void Core::record_refused(const std::string& class_name) {
+  if (Counts::Replies* replies = replies_of(class_name)) ++replies->refused;
 }
 
 void Core::on_client_half_closed(RequestId id) {
   auto it = open_.find(id);
-  if (it == open_.end() || it->second.left) return;
+  if (it == open_.end() || it->second.half_closed) return;
   Open& open = it->second;
-  open.left = true;
-  events_.push_back(GoneEvent{id});
-  set_timer(clock_.now() + kLeftGrace, Due::Expiry, id, kLeftGuard);
-  answer_left(open);
+  open.half_closed = true;
+  events_.push_back(ClientGoneEvent{id});
+  set_timer(clock_.now() + kHalfClosedGrace, TimerKind::Expiry, id, kHalfClosedGuard);
+  answer_half_closed(open);
 }
 
-/// Begun from here on it would be work for nobody: what waits for a dial, behind others or for a
-/// full socket goes no further.
-void Core::withdraw(RequestId id, Open& open) {
+/// Withdraws attempts that still wait for a connection, behind others or for a full socket: no
+/// client waits for them any more.
+void Core::withdraw_unsent(RequestId id, Open& open) {
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     Attempt& a = open.attempts[k];
-    if (!a.carried || !open.carrier->withdraw(a.server, id, static_cast<int>(k))) continue;
-    a.carried = a.may_have_run = false;
-    if (a.out) tell_outcome(id, open, static_cast<int>(k), Status::Moot, nullptr);
+    if (!a.sender_owes_end || !open.sender->withdraw(a.server, id, static_cast<int>(k))) continue;
+    a.sender_owes_end = a.may_have_run = false;
+    if (a.in_flight) queue_outcome(id, open, static_cast<int>(k), Status::Moot, nullptr);
   }
 }
 
-/// Who may still read gets an answer once nothing is out any more: that trying again is harmless
-/// where nothing has run, of this try or, for a write that bears a key, of one before.
-void Core::answer_left(Open& open) {
+/// Replies to a half-closed client once no attempt is in flight. The reply is Refused (safe to
+/// retry) only if no attempt has run; a write with an idempotency key fails instead, since an
+/// earlier try of the client may have run.
+void Core::answer_half_closed(Open& open) {
   if (open.answered || std::any_of(open.attempts.begin(), open.attempts.end(),
-                                   [](const Attempt& one) { return one.carried; }))
+                                   [](const Attempt& one) { return one.sender_owes_end; }))
     return;
   Reply reply;
   if (open.request.idempotency_key.empty() &&
@@ -174,46 +174,47 @@
   unanswered_ -= !open.answered;
   open.sink = nullptr;
   open.answered = true;
-  withdraw(id, open);
-  events_.push_back(GoneEvent{id});  // also where it has left before: settle() forgets it then
+  withdraw_unsent(id, open);
+  events_.push_back(
+      ClientGoneEvent{id});  // also after a half-close: deliver_events() then erases it
 }
 
 void Core::give_reply(Open& open, Reply&& reply) {
   counts_.failed += reply.kind == Reply::Kind::Failed;
   unanswered_ -= !open.answered;
-  if (Counts::Replies* ends = replies_of(open.request.class_name))
-    ++(reply.kind == Reply::Kind::Served    ? ends->served
-       : reply.kind == Reply::Kind::Refused ? ends->refused
-                                            : ends->failed);
-  reply.cache_miss = reply.kind != Reply::Kind::Served && open.missed;
+  if (Counts::Replies* replies = replies_of(open.request.class_name))
+    ++(reply.kind == Reply::Kind::Served    ? replies->served
+       : reply.kind == Reply::Kind::Refused ? replies->refused
+                                            : replies->failed);
+  reply.cache_miss = reply.kind != Reply::Kind::Served && open.last_was_miss;
   open.answered = true;
   if (ReplySink* sink = std::exchange(open.sink, nullptr))
     sink->on_reply(open.request, std::move(reply));
 }
 
-void Core::forget_if_done(RequestId id) {
+void Core::erase_if_done(RequestId id) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   const Open& open = it->second;
-  if (!open.answered || open.untold > 0) return;
+  if (!open.answered || open.pending_outcomes > 0) return;
   for (const Attempt& a : open.attempts)
-    if (a.out) return;
+    if (a.in_flight) return;
   open_.erase(it);
 }
 
 // ---- attempts ----
 
-void Core::on_client_resumed(RequestId id) { events_.push_back(AgainEvent{id}); }
+void Core::on_client_resumed(RequestId id) { events_.push_back(ResumedEvent{id}); }
 
 void Core::on_attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
-                            bool held) {
+                            bool paused) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   Open& open = it->second;
   if (attempt < 0 || attempt >= static_cast<int>(open.attempts.size())) return;
   Attempt& a = open.attempts[static_cast<std::size_t>(attempt)];
-  a.carried = false;
-  if (status == Status::Miss && !aside_) status = Status::Error;
+  a.sender_owes_end = false;
+  if (status == Status::Miss && !cache_aside_) status = Status::Error;
   if (status == Status::Ok && !open.answered) {
     Reply reply;
     reply.kind = Reply::Kind::Served;
@@ -223,80 +224,80 @@
     reply.flags = result.flags;
     give_reply(open, std::move(reply));
   }
-  if (a.out) tell_outcome(id, open, attempt, status, &result, held);
-  if (open.left) answer_left(open);
-  forget_if_done(id);
+  if (a.in_flight) queue_outcome(id, open, attempt, status, &result, paused);
+  if (open.half_closed) answer_half_closed(open);
+  erase_if_done(id);
 }
 
-/// The attempt's patience, or with kClient the client's, is over. The last guard: whatever
-/// happened, the client gets its answer.
+/// Runs when an attempt's timeout or, with kRequestDeadline, the request's deadline has passed.
+/// kReplyGuard makes sure that the client gets a reply whatever happened.
 void Core::expire(RequestId id, int attempt) {
   auto it = open_.find(id);
   if (it == open_.end()) return;
   Open& open = it->second;
-  if (attempt == kLastGuard) {
+  if (attempt == kReplyGuard) {
     if (!open.answered) give_reply(open, Reply());
-    forget_if_done(id);
+    erase_if_done(id);
     return;
   }
-  if (attempt == kLeftGuard) {
-    withdraw(id, open);
-    answer_left(open);
-    forget_if_done(id);
+  if (attempt == kHalfClosedGuard) {
+    withdraw_unsent(id, open);
+    answer_half_closed(open);
+    erase_if_done(id);
     return;
   }
   for (std::size_t k = 0; k < open.attempts.size(); ++k) {
     Attempt& a = open.attempts[k];
-    if (!a.out || (attempt >= 0 && static_cast<int>(k) != attempt)) continue;
+    if (!a.in_flight || (attempt >= 0 && static_cast<int>(k) != attempt)) continue;
     Status status;
-    if (attempt >= 0 && !second_copies_) {
-      std::optional<Status> ended = open.carrier->stop_for_retry(a.server, id, attempt);
-      if (!ended) {  // out until then, so that no other may follow
-        set_timer(clock_.now() + kEndAgain, Due::Expiry, id, attempt);
+    if (attempt >= 0 && !may_hedge_) {
+      std::optional<Status> ended = open.sender->stop_for_retry(a.server, id, attempt);
+      if (!ended) {  // still in flight, so that no other attempt may follow
+        set_timer(clock_.now() + kStopRetryInterval, TimerKind::Expiry, id, attempt);
         continue;
       }
       status = *ended;
     } else {
-      status = open.carrier->cancel(a.server, id, static_cast<int>(k));
+      status = open.sender->cancel(a.server, id, static_cast<int>(k));
     }
-    a.carried = false;
-    bool unreached = status == Status::Moot && !open.carrier->sent_by_caller();
-    tell_outcome(id, open, static_cast<int>(k),
-                 unreached                ? Status::ConnectFailed
-                 : status == Status::Moot ? Status::Moot
-                                          : Status::Timeout,
-                 nullptr);
+    a.sender_owes_end = false;
+    bool unreached = status == Status::Moot && !open.sender->sent_by_caller();
+    queue_outcome(id, open, static_cast<int>(k),
+                  unreached                ? Status::ConnectFailed
+                  : status == Status::Moot ? Status::Moot
+                                           : Status::Timeout,
+                  nullptr);
   }
-  if (attempt == kClient && !open.answered)
-    set_timer(clock_.now() + kLastAnswer, Due::Expiry, id, kLastGuard);
-  forget_if_done(id);
+  if (attempt == kRequestDeadline && !open.answered)
+    set_timer(clock_.now() + kReplyGuardDelay, TimerKind::Expiry, id, kReplyGuard);
+  erase_if_done(id);
 }
 
-void Core::tell_outcome(RequestId id, Open& open, int attempt, Status status, AttemptResult* result,
-                        bool held) {
+void Core::queue_outcome(RequestId id, Open& open, int attempt, Status status,
+                         AttemptResult* result, bool paused) {
   Attempt& a = open.attempts[static_cast<std::size_t>(attempt)];
-  a.out = false;
-  open.missed = status == Status::Miss;
+  a.in_flight = false;
+  open.last_was_miss = status == Status::Miss;
   if (status == Status::Full || status == Status::ConnectFailed || status == Status::Moot ||
       status == Status::Miss || status == Status::NoRoom)
     a.may_have_run = false;
   ++counts_.outcomes[static_cast<std::size_t>(status)];
-  if (at_servers_.size() < kMostCounted || at_servers_.count(a.server))
-    ++at_servers_[a.server][static_cast<std::size_t>(status)];
+  if (outcomes_by_server_.size() < kMaxCountedServers || outcomes_by_server_.count(a.server))
+    ++outcomes_by_server_[a.server][static_cast<std::size_t>(status)];
   OutcomeEvent e;
   e.outcome.id = id;
   e.outcome.server = a.server;
   e.outcome.status = status;
   e.outcome.latency = clock_.now() - a.sent;
   e.outcome.attempt = attempt;
-  e.outcome.held = held;
+  e.outcome.held = paused;
   if (result) {
     counts_.hits += result->cache_result == 1;
     counts_.misses += result->cache_result > 1;
     e.outcome.note = result->cache_result;
     e.outcome.report = std::move(result->report);
   }
-  ++open.untold;
+  ++open.pending_outcomes;
   events_.push_back(std::move(e));
 }
 
@@ -308,30 +309,30 @@
 
 // ---- timers ----
 
-void Core::set_timer(Micros at, Due due, std::uint64_t token, int attempt) {
-  timers_.push({at, timer_order_++, due, token, attempt});
+void Core::set_timer(Micros at, TimerKind kind, std::uint64_t token, int attempt) {
+  timers_.push({at, timer_order_++, kind, token, attempt});
 }
 
-void Core::ring() {
+void Core::run_due_timers() {
   Micros now = clock_.now();
   while (!timers_.empty() && timers_.top().at <= now) {
     Timer t = timers_.top();
     timers_.pop();
-    if (t.due == Due::Module)
+    if (t.kind == TimerKind::Balancer)
       events_.push_back(TimerEvent{t.token});
     else
       expire(t.token, t.attempt);
   }
 }
 
-// ---- the module ----
+// ---- the balancer ----
 
 void Core::process_events() {
-  ring();
-  settle();
+  run_due_timers();
+  deliver_events();
 }
 
-void Core::settle() {
+void Core::deliver_events() {
   while (!events_.empty()) {
     Event event = std::move(events_.front());
     events_.pop_front();
@@ -339,14 +340,14 @@
     if (auto* e = std::get_if<OutcomeEvent>(&event)) {
       auto it = open_.find(e->outcome.id);
       e->outcome.finished = it == open_.end() || it->second.answered;
-      if (it != open_.end()) --it->second.untold;
-      perform("outcome", e->outcome.id, now, balancer_.on_outcome(now, e->outcome));
-      forget_if_done(e->outcome.id);
+      if (it != open_.end()) --it->second.pending_outcomes;
+      apply_actions("outcome", e->outcome.id, now, balancer_.on_outcome(now, e->outcome));
+      erase_if_done(e->outcome.id);
     } else if (auto* e = std::get_if<RequestEvent>(&event)) {
       auto it = open_.find(e->id);
       if (it == open_.end()) continue;
       const Open& open = it->second;
-      if (open.answered) {  // gone before the module heard of it
+      if (open.answered) {  // the client left before the balancer saw the request
         open_.erase(it);
         continue;
       }
@@ -361,49 +362,50 @@
       r.write = open.request.write;
       r.unkeyed = open.request.write && !open.request.deduplicated;
       if (open.request.deduplicated) r.idempotency = open.request.idempotency_key;
-      set_timer(open.deadline, Due::Expiry, e->id, kClient);
-      perform("request", e->id, now, balancer_.on_request(now, r));
-    } else if (auto* e = std::get_if<GoneEvent>(&event)) {
-      perform("gone", e->id, now, balancer_.on_gone(now, e->id));
-      forget_if_done(e->id);
-    } else if (auto* e = std::get_if<AgainEvent>(&event)) {
-      perform("again", e->id, now, balancer_.on_again(now, e->id));
+      set_timer(open.deadline, TimerKind::Expiry, e->id, kRequestDeadline);
+      apply_actions("request", e->id, now, balancer_.on_request(now, r));
+    } else if (auto* e = std::get_if<ClientGoneEvent>(&event)) {
+      apply_actions("gone", e->id, now, balancer_.on_gone(now, e->id));
+      erase_if_done(e->id);
+    } else if (auto* e = std::get_if<ResumedEvent>(&event)) {
+      apply_actions("again", e->id, now, balancer_.on_again(now, e->id));
     } else if (auto* e = std::get_if<ListEvent>(&event)) {
-      perform("list", 0, now, balancer_.on_list(now, e->scope, e->servers));
+      apply_actions("list", 0, now, balancer_.on_list(now, e->scope, e->servers));
     } else if (auto* e = std::get_if<TimerEvent>(&event)) {
-      perform("timer", e->token, now, balancer_.on_timer(now, e->token));
+      apply_actions("timer", e->token, now, balancer_.on_timer(now, e->token));
     }
   }
 }
 
-void Core::perform(const char* call, RequestId id, Micros now, const robinseam::Actions& actions) {
-  if (tap_) tap_->on_call(now, call, id, actions);
+void Core::apply_actions(const char* call, RequestId id, Micros now,
+                         const robinseam::Actions& actions) {
+  if (observer_) observer_->on_call(now, call, id, actions);
   for (const robinseam::Action& action : actions)
-    std::visit([this](const auto& a) { act(a); }, action);
+    std::visit([this](const auto& a) { apply(a); }, action);
 }
 
-void Core::act(const robinseam::Send& a) {
+void Core::apply(const robinseam::Send& a) {
   auto it = open_.find(a.id);
   if (it == open_.end()) return;
   Open& open = it->second;
   int attempt = static_cast<int>(open.attempts.size());
   Micros now = clock_.now();
   open.attempts.push_back({a.server, now});
-  // An answer may have come while the module did not know of it yet.
-  if (open.answered || open.left || now >= open.deadline) {
-    open.attempts.back().carried = false;
-    tell_outcome(a.id, open, attempt, Status::Moot, nullptr);
+  // The request may have been answered without the balancer knowing it yet.
+  if (open.answered || open.half_closed || now >= open.deadline) {
+    open.attempts.back().sender_owes_end = false;
+    queue_outcome(a.id, open, attempt, Status::Moot, nullptr);
     return;
   }
-  Micros wait = open.deadline - now;
-  if (a.patience > 0 && a.patience < wait && !open.carrier->sent_by_caller()) {
-    wait = a.patience;
-    set_timer(now + wait, Due::Expiry, a.id, attempt);
+  Micros timeout = open.deadline - now;
+  if (a.patience > 0 && a.patience < timeout && !open.sender->sent_by_caller()) {
+    timeout = a.patience;
+    set_timer(now + timeout, TimerKind::Expiry, a.id, attempt);
   }
-  open.carrier->send(a.server, a.id, attempt, open.request, wait);
+  open.sender->send(a.server, a.id, attempt, open.request, timeout);
 }
 
-void Core::act(const robinseam::Refuse& a) {
+void Core::apply(const robinseam::Refuse& a) {
   auto it = open_.find(a.id);
   if (it == open_.end() || it->second.answered) return;
   ++counts_.refused;
@@ -411,35 +413,35 @@
   reply.kind = Reply::Kind::Refused;
   reply.retry_after = a.wait;
   give_reply(it->second, std::move(reply));
-  forget_if_done(a.id);
+  erase_if_done(a.id);
 }
 
-void Core::act(const robinseam::Fail& a) {
+void Core::apply(const robinseam::Fail& a) {
   auto it = open_.find(a.id);
   if (it == open_.end() || it->second.answered) return;
   give_reply(it->second, Reply());
-  forget_if_done(a.id);
+  erase_if_done(a.id);
 }
 
-void Core::act(const robinseam::Cancel& a) {
+void Core::apply(const robinseam::Cancel& a) {
   auto it = open_.find(a.id);
   if (it == open_.end() || a.attempt < 0 ||
       a.attempt >= static_cast<int>(it->second.attempts.size()))
     return;
   Open& open = it->second;
   Attempt& one = open.attempts[static_cast<std::size_t>(a.attempt)];
-  if (!one.out) return;
+  if (!one.in_flight) return;
   Status status = Status::Cancelled;
-  // For a client that has left but may still read, what is out goes on.
-  if (!open.left || open.answered) {
-    status = open.carrier->cancel(one.server, a.id, a.attempt);
-    one.carried = false;
+  // For a half-closed client, which may still read, attempts in flight continue.
+  if (!open.half_closed || open.answered) {
+    status = open.sender->cancel(one.server, a.id, a.attempt);
+    one.sender_owes_end = false;
   }
-  tell_outcome(a.id, open, a.attempt, status, nullptr);
+  queue_outcome(a.id, open, a.attempt, status, nullptr);
 }
 
-void Core::act(const robinseam::Timer& a) {
-  set_timer(clock_.now() + a.after, Due::Module, a.token);
+void Core::apply(const robinseam::Timer& a) {
+  set_timer(clock_.now() + a.after, TimerKind::Balancer, a.token);
 }
 
 }  // namespace arrowfork
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -1,6 +1,6 @@
-// The table of open requests: their attempts, deadlines and replies, and the only caller of the
-// decision module. Knows no protocol and no socket: requests come from any front, attempts go out
-// through whatever carries them, time and randomness are handed in.
+// The table of open requests with their attempts, deadlines and replies, and the only caller of
+// the balancer. It knows no protocol and no sockets: requests come from any frontend, attempts go
+// out through an AttemptSender, and time and randomness are passed in.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
 
 namespace arrowfork {
 
-/// Where a request's reply goes. Called once, unless on_client_gone() was called before.
+/// Receives a request's reply: once, unless Core::on_client_gone() was called before.
 class ReplySink {
  public:
   virtual void on_reply(const Request& request, Reply&& reply) = 0;
@@ -27,36 +27,37 @@
   ~ReplySink() = default;
 };
 
-/// Carries attempts out. For each send() it calls Core::on_attempt_ended once, perhaps before
+/// Sends attempts to servers. For each send() it calls Core::on_attempt_ended once, possibly before
 /// send() returns, unless the attempt was cancelled.
 class AttemptSender {
  public:
-  /// `wait`: until the router stops waiting.
+  /// `timeout`: how long the router waits for the answer.
   virtual void send(const std::string& server, RequestId id, int attempt, const Request& request,
-                    Micros wait) = 0;
-  /// Gives an attempt up: Moot where the server has nothing of it, Cancelled where it may have run.
+                    Micros timeout) = 0;
+  /// Abandons an attempt. Returns Moot if nothing of it was sent, Cancelled if it may have run.
   virtual Status cancel(const std::string& server, RequestId id, int attempt) = 0;
-  /// The same where another attempt is to follow and no two may be out at once: it must not go on
-  /// at its server. Nothing where it can't be ended without harm to others, and goes on.
+  /// Like cancel(), for when another attempt is to follow and two may not be in flight at once: the
+  /// attempt must not continue at its server. Returns nothing, and lets the attempt continue, if
+  /// stopping it would disturb other attempts.
   virtual std::optional<Status> stop_for_retry(const std::string& server, RequestId id,
                                                int attempt) {
     return cancel(server, id, attempt);
   }
-  /// Takes an attempt back whose server has not got it whole, so that it never begins; false where
-  /// that can't be done any more, or not without harm to others. What is out then goes on.
+  /// Withdraws an attempt that its server has not received in full, so that it never runs. Returns
+  /// false, and lets the attempt continue, if it is too late or would disturb other attempts.
   virtual bool withdraw(const std::string&, RequestId, int) { return false; }
-  /// Whether every server that an attempt may reach is told the write's idempotency key.
+  /// Whether every server that an attempt may reach receives the write's idempotency key.
   virtual bool supports_idempotency_key(const Request& request) const = 0;
-  /// Attempts are carried out by somebody else who is only told of them. Then no patience is held
-  /// against them but the request's own time, since giving one up would not reach who carries it;
-  /// and one that was never sent (Moot) says nothing of whether its server could be reached.
+  /// True if the caller of the router sends the attempts itself and is only told the server. Such
+  /// attempts have no timeout but the request's deadline, since a cancellation would not reach the
+  /// caller, and one that was never sent (Moot) does not show whether its server is reachable.
   virtual bool sent_by_caller() const { return false; }
 
  protected:
   ~AttemptSender() = default;
 };
 
-/// Where the list of servers is asked for; what comes is told by Core::on_list.
+/// Requests the server list from discovery. Answers arrive through Core::on_list.
 class ListSource {
  public:
   virtual void watch_list() = 0;
@@ -66,7 +67,7 @@
   ~ListSource() = default;
 };
 
-/// Sees each call on the module with what it answered, in order. For tests and captures.
+/// Observes each call of the balancer with the actions it returned, in order. For tests and traces.
 class BalancerObserver {
  public:
   virtual void on_call(Micros now, const char* call, RequestId id,
@@ -78,60 +79,60 @@
 
 class Core {
  public:
-  /// Throws std::invalid_argument naming the setting that can't be used. `clock` and `lister` must
-  /// outlive the core. At most `max_open` requests are open at once, and at most `max_ids` with ids
-  /// of their own are taken in a span of the longest deadline.
-  /// `rules` as for the module's constructor.
+  /// Throws std::invalid_argument naming the invalid setting. `clock` and `list_source` must
+  /// outlive the core. At most `max_open` requests are open at once, and at most `max_ids` requests
+  /// with client-chosen ids are accepted within the longest deadline.
+  /// `rules`: as for the constructor of Balancer.
   Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
-       ListSource& lister, std::size_t max_open, std::size_t max_ids,
+       ListSource& list_source, std::size_t max_open, std::size_t max_ids,
        const robinseam::limits::RuleMaker& rules = {});
 
-  /// Call once: begins with the list as last held; `doubted`: it is likely to have changed.
-  void start(std::vector<robinseam::Server> known, bool doubted = false);
+  /// Call once. `known`: the list that the router starts with; `unverified`: it has probably
+  /// changed since.
+  void start(std::vector<robinseam::Server> known, bool unverified = false);
 
   enum class SubmitResult {
     Accepted,
-    InvalidClass,  ///< no such class, or a read of a class whose writes bear keys
-    IdInUse,       ///< a client has this id open, or had it a moment ago
-    TableFull,     ///< the table is full; refused before the module has seen it
+    InvalidClass,  ///< no such class, or a read in a class of keyed writes
+    IdInUse,       ///< a request with this id is open or has ended a moment ago
+    TableFull,     ///< the table is full; refused without asking the balancer
   };
-  /// Takes a request; `id` names it from here on. `sink` and `carrier` are called until it has
-  /// ended; `sink` not after on_client_gone(). The module hears of it in the next process_events().
-  SubmitResult submit(Request&& request, ReplySink& sink, AttemptSender& carrier, RequestId& id);
-  /// The client sends no more but may still read: nothing new is sent for it, what its servers have
-  /// not got whole a moment later is taken back, what may run is waited for.
+  /// Accepts a request and sets `id`. `sink` and `sender` are called until the request has ended,
+  /// `sink` not after on_client_gone(). The balancer sees the request in the next process_events().
+  SubmitResult submit(Request&& request, ReplySink& sink, AttemptSender& sender, RequestId& id);
+  /// The client sends no more but may still read. No further attempt is sent for the request;
+  /// attempts that are not fully sent a moment later are withdrawn; those that may run are awaited.
   void on_client_half_closed(RequestId id);
-  /// Nobody is left to get the reply. What its servers have not got whole is taken back.
+  /// The client can no longer receive the reply. Attempts that are not fully sent are withdrawn.
   void on_client_gone(RequestId id);
-  /// `held`: nobody waits for a further attempt until on_client_resumed() is called; without, the
-  /// module decides on one at once.
+  /// `paused`: no client waits for a further attempt until on_client_resumed() is called; otherwise
+  /// the balancer decides on one at once.
   void on_attempt_ended(RequestId id, int attempt, Status status, AttemptResult&& result,
-                        bool held = false);
-  /// Somebody waits for the request again.
+                        bool paused = false);
+  /// A client waits for the request again.
   void on_client_resumed(RequestId id);
   void on_list(robinseam::ListScope scope, std::vector<robinseam::Server> servers);
 
-  /// Rings the timers that are due and tells the module what has happened, until nothing is left.
+  /// Runs the timers that are due and passes all pending events to the balancer.
   void process_events();
-  /// True when a process_events() has something to do now.
   bool has_pending_events() const { return !events_.empty(); }
-  /// When process_events() must be called at the latest; 0: no timer is set.
+  /// Time of the first timer, by which process_events() must be called; 0 if no timer is set.
   Micros next_timer() const { return timers_.empty() ? 0 : timers_.top().at; }
 
   const robinseam::ClassSettings* find_class(const std::string& name) const;
   Micros longest_deadline() const { return longest_deadline_; }
   std::size_t open_requests() const { return open_.size(); }
-  /// Requests that have not got their reply yet.
+  /// Number of requests without a reply so far.
   std::size_t unanswered() const { return unanswered_; }
-  /// Counts a request that a front has refused by itself.
-  void record_refused(const std::string& type);
-  /// The part of its slots that a listed server is live over now, 0 to 1.
+  /// Counts a request that a frontend has refused by itself.
+  void record_refused(const std::string& class_name);
+  /// The share of a listed server's slots in which it is live now, 0 to 1.
   double live_fraction(const std::string& server) const { return balancer_.live_fraction(server); }
   const std::vector<robinseam::ClassSettings>& classes() const { return classes_; }
   struct Counts {
     std::uint64_t requests = 0, refused = 0, failed = 0, gone = 0, hits = 0, misses = 0;
     std::array<std::uint64_t, robinseam::kStatuses> outcomes{};  ///< by Status
-    /// By class, in the settings' order; a request whose client has left is under none.
+    /// By class, in the order of the settings. Requests whose client is gone count in none.
     struct Replies {
       std::uint64_t served = 0, refused = 0, failed = 0;
     };
@@ -139,43 +140,45 @@
   };
   const Counts& counts() const { return counts_; }
   using Outcomes = std::array<std::uint32_t, robinseam::kStatuses>;  ///< by Status
-  /// What attempts at each server came to since the last call. Of kMostCounted servers at most:
-  /// what ends elsewhere until the next call is under none.
-  std::map<std::string, Outcomes> take_server_counts() { return std::exchange(at_servers_, {}); }
+  /// Outcomes of attempts by server since the last call, for at most kMaxCountedServers servers;
+  /// outcomes of further servers are not counted.
+  std::map<std::string, Outcomes> take_server_counts() {
+    return std::exchange(outcomes_by_server_, {});
+  }
   robinseam::Balancer::Stats module_stats() const { return balancer_.stats(); }
-  void set_observer(BalancerObserver* tap) { tap_ = tap; }
+  void set_observer(BalancerObserver* observer) { observer_ = observer; }
 
  private:
-  static constexpr std::size_t kMostCounted = 4096;  // some 150 bytes each, until the next line
+  static constexpr std::size_t kMaxCountedServers = 4096;  // about 150 bytes each
   struct Attempt {
     std::string server;
     Micros sent = 0;
-    bool out = true;           // its outcome has not been told to the module
-    bool carried = true;       // its carrier still owes it an end
-    bool may_have_run = true;  // until it is known that it has not
+    bool in_flight = true;        // its outcome is not queued for the balancer yet
+    bool sender_owes_end = true;  // its sender has not reported its end yet
+    bool may_have_run = true;     // false once it is known not to have run
   };
   struct Open {
-    ReplySink* sink = nullptr;  // none once the client is gone or has its reply
-    AttemptSender* carrier = nullptr;
+    ReplySink* sink = nullptr;  // null once the client is gone or has its reply
+    AttemptSender* sender = nullptr;
     Request request;
     Micros deadline = 0;
-    bool answered = false;  // the final answer is given, or nobody is left to get one
-    bool left = false;      // the client sends no more: nothing new is sent for it
-    bool missed = false;    // the last attempt ended in a miss
-    int untold = 0;         // outcomes on their way to the module
+    bool answered = false;       // the reply is given, or the client is gone
+    bool half_closed = false;    // the client sends no more: no further attempt is sent
+    bool last_was_miss = false;  // the last attempt ended in a miss
+    int pending_outcomes = 0;    // outcomes queued for the balancer
     std::vector<Attempt> attempts;
   };
-  // What waits for its turn to be told to the module.
+  // Events that wait to be passed to the balancer.
   struct OutcomeEvent {
     robinseam::Outcome outcome;
   };
   struct RequestEvent {
     RequestId id;
   };
-  struct GoneEvent {
+  struct ClientGoneEvent {
     RequestId id;
   };
-  struct AgainEvent {
+  struct ResumedEvent {
     RequestId id;
   };
   struct ListEvent {
@@ -185,64 +188,65 @@
   struct TimerEvent {
     std::uint64_t token;
   };
-  using Event =
-      std::variant<OutcomeEvent, RequestEvent, GoneEvent, AgainEvent, ListEvent, TimerEvent>;
+  using Event = std::variant<OutcomeEvent, RequestEvent, ClientGoneEvent, ResumedEvent, ListEvent,
+                             TimerEvent>;
 
-  enum class Due { Module, Expiry };
+  enum class TimerKind { Balancer, Expiry };
   struct Timer {
     Micros at;
-    std::uint64_t order;  // first set, first rung
-    Due due;
-    std::uint64_t token;  // the module's, or a request id
+    std::uint64_t order;  // timers that are due at the same time run in the order they were set
+    TimerKind kind;
+    std::uint64_t token;  // the balancer's, or a request id
     int attempt;
     bool operator>(const Timer& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
 
-  void ring();
-  void settle();
-  void set_timer(Micros at, Due due, std::uint64_t token, int attempt = 0);
-  void perform(const char* call, RequestId id, Micros now, const robinseam::Actions& actions);
-  void act(const robinseam::Send& a);
-  void act(const robinseam::Refuse& a);
-  void act(const robinseam::Fail& a);
-  void act(const robinseam::Cancel& a);
-  void act(const robinseam::Watch&) { lister_.watch_list(); }
-  void act(const robinseam::Fetch&) { lister_.fetch_list(); }
-  void act(const robinseam::Timer& a);
-  void act(const robinseam::Probe&) {}  // the module probes nothing; no site allows it
+  void run_due_timers();
+  void deliver_events();
+  void set_timer(Micros at, TimerKind kind, std::uint64_t token, int attempt = 0);
+  void apply_actions(const char* call, RequestId id, Micros now, const robinseam::Actions& actions);
+  void apply(const robinseam::Send& a);
+  void apply(const robinseam::Refuse& a);
+  void apply(const robinseam::Fail& a);
+  void apply(const robinseam::Cancel& a);
+  void apply(const robinseam::Watch&) { list_source_.watch_list(); }
+  void apply(const robinseam::Fetch&) { list_source_.fetch_list(); }
+  void apply(const robinseam::Timer& a);
+  void apply(const robinseam::Probe&) {
+  }  // the balancer sends no probes: the router does not allow them
   void expire(RequestId id, int attempt);
   std::string make_id();
-  bool id_taken(const std::string& id) const;
-  void note_id(const std::string& id);
-  Counts::Replies* replies_of(const std::string& type);
+  bool is_id_in_use(const std::string& id) const;
+  void record_id(const std::string& id);
+  Counts::Replies* replies_of(const std::string& class_name);
   void give_reply(Open& open, Reply&& reply);
-  void withdraw(RequestId id, Open& open);
-  void answer_left(Open& open);
-  void tell_outcome(RequestId id, Open& open, int attempt, Status status, AttemptResult* result,
-                    bool held = false);
-  void forget_if_done(RequestId id);
+  void withdraw_unsent(RequestId id, Open& open);
+  void answer_half_closed(Open& open);
+  void queue_outcome(RequestId id, Open& open, int attempt, Status status, AttemptResult* result,
+                     bool paused = false);
+  void erase_if_done(RequestId id);
 
   const TimeSource& clock_;
-  ListSource& lister_;
+  ListSource& list_source_;
   std::vector<robinseam::ClassSettings> classes_;
-  bool aside_, second_copies_;
+  bool cache_aside_, may_hedge_;
   Micros longest_deadline_;
   robinseam::Balancer balancer_;
   std::unordered_map<RequestId, Open> open_;
   RequestId next_id_ = 1;
   std::uint64_t id_seed_;
-  // Ids of the last one to two spans of the longest deadline; those of open requests are among
-  // them.
-  std::array<std::unordered_set<std::string>, 2> ids_;
-  Micros ids_since_ = 0;
+  // Client-chosen ids of the last one to two times the longest deadline, which include those of
+  // all open requests.
+  std::array<std::unordered_set<std::string>, 2> recent_ids_;
+  Micros ids_rotated_at_ = 0;
   std::size_t max_open_, max_ids_;
   std::size_t unanswered_ = 0;
   std::deque<Event> events_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<Timer>> timers_;
   std::uint64_t timer_order_ = 0;
   Counts counts_;
-  std::map<std::string, Outcomes> at_servers_;
-  BalancerObserver* tap_ = nullptr;
+  std::map<std::string, Outcomes> outcomes_by_server_;
+  BalancerObserver* observer_ = nullptr;
 };
 
 }  // namespace arrowfork
--- a/src/core/request.hpp
+++ b/src/core/request.hpp
@@ -1,4 +1,4 @@
-// What a front asks of the core and what it gets back, whatever protocol either side speaks.
+// Requests that frontends submit to the core and the replies to them, independent of the protocol.
 #pragma once
 
 #include <cstdint>
@@ -16,51 +16,51 @@
 using robinseam::RequestId;
 using robinseam::Status;
 
-/// One read or write of a key. Fronts check that what they take from bytes is well formed.
+/// One read or write of a key. Frontends validate what they parse.
 struct Request {
   bool write = false;
   std::string key;
-  std::string id;          ///< unique over all routers; empty: the core makes one
-  std::string class_name;  ///< the name of its class in the settings
-  std::string tenant;      ///< may be empty
-  std::string
-      idempotency_key;        ///< of a write; empty: repeating it is unsafe whatever its class says
-  bool deduplicated = false;  ///< the core's: servers drop repeats of it by that key
-  Micros time_left = 0;       ///< until the client gives up; held to the class's deadline
+  std::string id;               ///< unique among all routers; if empty, the core makes one
+  std::string class_name;       ///< the name of its class in the settings
+  std::string tenant;           ///< may be empty
+  std::string idempotency_key;  ///< of a write; if empty, a retry is unsafe whatever its class says
+  bool deduplicated = false;    ///< set by the core: servers deduplicate by the key
+  Micros time_left = 0;         ///< until the client's deadline; limited to that of the class
   std::optional<std::int64_t> work;          ///< microseconds on a standard core
-  bool retry = false;                        ///< the client marked it as its own retry
+  bool retry = false;                        ///< the client marked it as a retry
   std::shared_ptr<const std::string> value;  ///< of a write
-  /// What the binary protocol's clients keep beside a value, and how long it lives (0: for good).
+  /// Flags and expiry of a value in the binary protocol; expiry 0: the value does not expire.
   std::uint32_t flags = 0, expiry = 0;
-  bool wants_flags = false;  ///< of a read: the reply must tell them
-  /// The meta line as its client wrote it, around the figure of its wait. A back that speaks meta
-  /// sends it on unchanged; empty where the front speaks something else.
+  bool wants_flags = false;  ///< of a read: the reply must include the flags
+  /// The client's meta command line before and after the number of milliseconds to its deadline.
+  /// Servers that speak meta get the line unchanged; empty if the client speaks another protocol.
   std::string line_before_deadline, line_after_deadline;
 };
 
-/// What an attempt brought back.
+/// The result of an attempt.
 struct AttemptResult {
-  std::string value;                ///< of a read that was served
-  std::shared_ptr<ValuePipe> pipe;  ///< in its place where the value is large and still comes
-  std::string receipt;              ///< of a write that was served
+  std::string value;                ///< of a successful read
+  std::shared_ptr<ValuePipe> pipe;  ///< instead of `value` for a large value that is still arriving
+  std::string receipt;              ///< of a successful write
   std::uint32_t flags = 0;
-  int cache_result = 0;        ///< 1 hit, 2 miss, 3 miss while another fetch is out, 0 not told
-  std::vector<double> report;  ///< in the order of the settings' fields; NaN where not told
+  int cache_result = 0;  ///< 1 hit, 2 miss, 3 miss with a fetch in flight, 0 unknown
+  std::vector<double>
+      report;  ///< load report, in the order of the settings' fields; NaN if missing
 };
 
 /// The one final answer of a request.
 struct Reply {
   enum class Kind {
     Served,   ///< `value` or `receipt`
-    Refused,  ///< trying again is harmless, after `retry_after`
-    Failed,   ///< promises nothing
+    Refused,  ///< has no effect, so a retry is safe, after `retry_after`
+    Failed,   ///< may have had an effect
   };
   Kind kind = Kind::Failed;
   std::string value, receipt;
-  std::shared_ptr<ValuePipe> pipe;  ///< in place of `value`
+  std::shared_ptr<ValuePipe> pipe;  ///< instead of `value`
   std::uint32_t flags = 0;
-  Micros retry_after = 0;  ///< 0 = not told
-  /// Not served, and the last server asked holds nothing (aside mode).
+  Micros retry_after = 0;  ///< 0: unknown
+  /// Not served, and the last server asked does not have the key (cache-aside mode).
   bool cache_miss = false;
 };
 
--- a/src/core/value_pipe.hpp
+++ b/src/core/value_pipe.hpp
@@ -1,4 +1,4 @@
-// A large value on its way from a cache server's connection to a client's, a window at a time.
+// Streams a large value from a cache server's connection to a client's through a bounded buffer.
 #pragma once
 
 #include <cstddef>
@@ -10,39 +10,39 @@
 
 namespace arrowfork {
 
-/// One writer and one reader on the same loop. The writer stops at full(), the reader tells of
-/// room. Either may end first: the reader by abandon(), the writer by fail() or, after the last
-/// byte, by finish().
+/// Has one writer and one reader on the same event loop. The writer stops at full() and goes on
+/// after on_writable. Either may end first: the reader by abandon(), the writer by fail() or, after
+/// the last byte, by finish().
 class ValuePipe {
  public:
   ValuePipe(std::size_t length, std::size_t window) : length_(length), window_(window) {}
 
   std::size_t length() const { return length_; }  ///< bytes of the whole value
 
-  // The writer's.
+  // For the writer.
   void put(std::string_view bytes) {
     if (abandoned_) return;
     buffer_.append(bytes);
-    tell(on_readable_);
+    notify(on_readable_);
   }
   bool full() const { return buffer_.size() >= window_; }
   void set_window(std::size_t window) { window_ = window; }
   void finish() {
     finished_ = true;
-    tell(on_readable_);
+    notify(on_readable_);
   }
   void fail() {
     failed_ = !finished_;
-    tell(on_readable_);
+    notify(on_readable_);
   }
   bool abandoned() const { return abandoned_; }
-  /// Called when there is room again, and when nobody reads any more.
+  /// `call` is run when the buffer has free space again and when the reader has ended.
   void on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
 
-  // The reader's.
+  // For the reader.
   std::string take() {
     std::string bytes = std::exchange(buffer_, {});
-    if (!bytes.empty()) tell(on_writable_);
+    if (!bytes.empty()) notify(on_writable_);
     return bytes;
   }
   bool finished() const { return finished_ && buffer_.empty(); }
@@ -53,11 +53,11 @@
     if (std::exchange(abandoned_, true)) return;
     on_readable_ = nullptr;
     buffer_.clear();
-    tell(on_writable_);
+    notify(on_writable_);
   }
 
  private:
-  static void tell(const std::function<void()>& call) {
+  static void notify(const std::function<void()>& call) {
     if (call) call();
   }
   std::size_t length_, window_;
--- a/src/extproc/processor.hpp
+++ b/src/extproc/processor.hpp
@@ -76,7 +76,7 @@
   Status cancel(const std::string& server, RequestId id, int attempt) override;
   /// Always true: the caller sends the request itself, with its idempotency header.
   bool supports_idempotency_key(const Request&) const override { return true; }
-  bool remote() const override { return true; }
+  bool sent_by_caller() const override { return true; }
 
   const Counts& counts() const { return counts_; }
   std::size_t open_streams() const { return streams_.size(); }
--- a/src/protocol/binary.cpp
+++ b/src/protocol/binary.cpp
@@ -5,15 +5,15 @@
 namespace arrowfork::binary {
 namespace {
 
-// A body that can't be used is read past up to this, memcached's own largest item; beyond, the
-// connection ends instead.
-constexpr std::size_t kSkipMost = 1u << 20;
-constexpr std::size_t kSetExtras = 8, kGetExtras = 4;
-// Set aside for a body before it has come: lengths that are only said cost no memory.
+// The body of a rejected request is skipped up to this size, memcached's default limit of an item;
+// beyond it the connection is closed.
+constexpr std::size_t kMaxSkippedBody = 1u << 20;
+constexpr std::size_t kSetExtrasBytes = 8, kGetExtrasBytes = 4;
+// Reserved for a body before it arrives, so that an announced length alone costs no memory.
 constexpr std::size_t kFirstReserve = 4096;
-// Opcodes up to TOUCH, GAT and the SASL, range, vbucket and tap families that memcached names; the
-// rest it does not know either.
-constexpr std::uint8_t kLastNamed = 0x4f;
+// memcached defines opcodes up to here (TOUCH, GAT and the SASL, range, vbucket and tap families);
+// higher ones are unknown to it as well.
+constexpr std::uint8_t kLastKnownOpcode = 0x4f;
 
 template <typename T>
 T load(std::string_view bytes, std::size_t at) {
@@ -45,7 +45,7 @@
   store(to, cas);
 }
 
-/// Fills `partial` up to `size` bytes from `in`; whether it is whole.
+/// Fills `partial` up to `size` bytes from `in`; returns whether it is complete.
 bool fill(std::string_view& in, std::string& partial, std::size_t size) {
   std::size_t part = std::min(size - partial.size(), in.size());
   partial.append(in.data(), part);
@@ -53,12 +53,12 @@
   return partial.size() == size;
 }
 
-/// How a request's lengths must be; 0 where they are right, else the status to answer with.
-std::uint16_t check(Opcode opcode, std::size_t key, std::size_t extras, std::size_t value) {
+/// Checks opcode and lengths of a request; returns kOk or the status to answer with.
+std::uint16_t check_lengths(Opcode opcode, std::size_t key, std::size_t extras, std::size_t value) {
   if (is_read(opcode))
     return key == 0 || key > kMaxKey || extras || value ? status::kInvalid : status::kOk;
   if (is_write(opcode)) {
-    if (key == 0 || key > kMaxKey || extras != kSetExtras) return status::kInvalid;
+    if (key == 0 || key > kMaxKey || extras != kSetExtrasBytes) return status::kInvalid;
     return value > kMaxValue ? status::kTooLarge : status::kOk;
   }
   switch (opcode) {
@@ -70,8 +70,8 @@
     case Opcode::Stat:
       return key > kMaxKey || extras || value ? status::kInvalid : status::kOk;
     default:
-      return static_cast<std::uint8_t>(opcode) <= kLastNamed ? status::kNotSupported
-                                                             : status::kUnknown;
+      return static_cast<std::uint8_t>(opcode) <= kLastKnownOpcode ? status::kNotSupported
+                                                                   : status::kUnknown;
   }
 }
 
@@ -83,31 +83,33 @@
   pending_.opcode = static_cast<Opcode>(load<std::uint8_t>(h, 1));
   pending_.opaque = load<std::uint32_t>(h, 12);
   pending_.cas = load<std::uint64_t>(h, 16);
-  key_ = load<std::uint16_t>(h, 2);
-  extras_ = load<std::uint8_t>(h, 4);
+  key_size_ = load<std::uint16_t>(h, 2);
+  extras_size_ = load<std::uint8_t>(h, 4);
   std::size_t body = load<std::uint32_t>(h, 8);
   bool raw = load<std::uint8_t>(h, 5) == 0;
-  bool framed = load<std::uint8_t>(h, 0) == kRequestMagic && body >= key_ + extras_;
+  bool valid_frame = load<std::uint8_t>(h, 0) == kRequestMagic && body >= key_size_ + extras_size_;
   partial_.clear();
-  if (!framed) {
-    refused_ = status::kInvalid;
+  if (!valid_frame) {
+    rejection_status_ = status::kInvalid;
     command = pending_;
     return ParseResult::FramingLost;
   }
-  refused_ = check(pending_.opcode, key_, extras_, body - key_ - extras_);
-  if (refused_ == status::kOk && !raw) refused_ = status::kInvalid;
-  need_ = body;
-  if (refused_ == status::kOk) {
+  rejection_status_ =
+      check_lengths(pending_.opcode, key_size_, extras_size_, body - key_size_ - extras_size_);
+  if (rejection_status_ == status::kOk && !raw) rejection_status_ = status::kInvalid;
+  bytes_needed_ = body;
+  if (rejection_status_ == status::kOk) {
     state_ = State::Body;
-    partial_.reserve(std::min(need_, kFirstReserve));
+    partial_.reserve(std::min(bytes_needed_, kFirstReserve));
     return ParseResult::Incomplete;
   }
-  if (body > kSkipMost) {
-    if (refused_ != status::kTooLarge && !is_write(pending_.opcode)) refused_ = status::kInvalid;
+  if (body > kMaxSkippedBody) {
+    if (rejection_status_ != status::kTooLarge && !is_write(pending_.opcode))
+      rejection_status_ = status::kInvalid;
     command = pending_;
     return ParseResult::FramingLost;
   }
-  state_ = State::Skip;  // told once its body is past
+  state_ = State::Skip;  // reported once its body is skipped
   return ParseResult::Incomplete;
 }
 
@@ -115,32 +117,32 @@
   while (true) {
     if (state_ == State::Header) {
       if (in.empty()) return ParseResult::Incomplete;
-      // No header need be waited for whole to see that it is none.
+      // A wrong magic is reported without waiting for the rest of the header.
       if (partial_.empty() && static_cast<unsigned char>(in.front()) != kRequestMagic) {
         command = Command();
-        refused_ = status::kInvalid;
+        rejection_status_ = status::kInvalid;
         return ParseResult::FramingLost;
       }
       if (!fill(in, partial_, kHeader)) return ParseResult::Incomplete;
       if (ParseResult result = parse_header(command); result != ParseResult::Incomplete)
         return result;
     } else if (state_ == State::Skip) {
-      std::size_t size = std::min(need_, in.size());
+      std::size_t size = std::min(bytes_needed_, in.size());
       in.remove_prefix(size);
-      need_ -= size;
-      if (need_ > 0) return ParseResult::Incomplete;
+      bytes_needed_ -= size;
+      if (bytes_needed_ > 0) return ParseResult::Incomplete;
       state_ = State::Header;
       command = pending_;
       return ParseResult::Rejected;
     } else {
-      if (!fill(in, partial_, need_)) return ParseResult::Incomplete;
+      if (!fill(in, partial_, bytes_needed_)) return ParseResult::Incomplete;
       state_ = State::Header;
       if (is_write(pending_.opcode)) {
         pending_.flags = load<std::uint32_t>(partial_, 0);
         pending_.expiry = load<std::uint32_t>(partial_, 4);
       }
-      pending_.key.assign(partial_, extras_, key_);
-      partial_.erase(0, extras_ + key_);
+      pending_.key.assign(partial_, extras_size_, key_size_);
+      partial_.erase(0, extras_size_ + key_size_);
       pending_.value = std::move(partial_);
       partial_.clear();
       command = std::move(pending_);
@@ -153,21 +155,22 @@
   std::string_view h = partial_;
   pending_ = Answer();
   pending_.opcode = load<std::uint8_t>(h, 1);
-  key_ = load<std::uint16_t>(h, 2);
-  extras_ = load<std::uint8_t>(h, 4);
+  key_size_ = load<std::uint16_t>(h, 2);
+  extras_size_ = load<std::uint8_t>(h, 4);
   pending_.status = load<std::uint16_t>(h, 6);
-  need_ = load<std::uint32_t>(h, 8);
+  bytes_needed_ = load<std::uint32_t>(h, 8);
   pending_.opaque = load<std::uint32_t>(h, 12);
   pending_.cas = load<std::uint64_t>(h, 16);
   bool raw = load<std::uint8_t>(h, 5) == 0;
   partial_.clear();
   bool served = pending_.status == status::kOk;
   bool read = served && is_read(static_cast<Opcode>(pending_.opcode));
-  if (!raw || need_ < key_ + extras_ || key_ > kMaxKey || extras_ > kGetExtras ||
-      need_ - key_ - extras_ > kMaxValue || (read && extras_ != kGetExtras))
+  if (!raw || bytes_needed_ < key_size_ + extras_size_ || key_size_ > kMaxKey ||
+      extras_size_ > kGetExtrasBytes || bytes_needed_ - key_size_ - extras_size_ > kMaxValue ||
+      (read && extras_size_ != kGetExtrasBytes))
     return false;
   in_body_ = true;
-  partial_.reserve(std::min(need_, kFirstReserve));
+  partial_.reserve(std::min(bytes_needed_, kFirstReserve));
   return true;
 }
 
@@ -180,11 +183,11 @@
       if (!fill(in, partial_, kHeader)) return ParseResult::Incomplete;
       if (!parse_header()) return ParseResult::Malformed;
     }
-    if (!fill(in, partial_, need_)) return ParseResult::Incomplete;
+    if (!fill(in, partial_, bytes_needed_)) return ParseResult::Incomplete;
     in_body_ = false;
-    if (extras_ == kGetExtras) pending_.flags = load<std::uint32_t>(partial_, 0);
-    pending_.key.assign(partial_, extras_, key_);
-    partial_.erase(0, extras_ + key_);
+    if (extras_size_ == kGetExtrasBytes) pending_.flags = load<std::uint32_t>(partial_, 0);
+    pending_.key.assign(partial_, extras_size_, key_size_);
+    partial_.erase(0, extras_size_ + key_size_);
     pending_.value = std::move(partial_);
     partial_.clear();
     answer = std::move(pending_);
@@ -196,7 +199,7 @@
   std::string text;
   bool write = is_write(c.opcode);
   store_header(text, kRequestMagic, static_cast<std::uint8_t>(c.opcode), c.key.size(),
-               write ? kSetExtras : 0, 0, c.value.size(), c.opaque, c.cas);
+               write ? kSetExtrasBytes : 0, 0, c.value.size(), c.opaque, c.cas);
   if (write) {
     store(text, c.flags);
     store(text, c.expiry);
@@ -212,7 +215,8 @@
   bool read = is_read(opcode) && status == status::kOk;
   if (!read || !includes_key(opcode)) key = {};
   store_header(text, kResponseMagic, static_cast<std::uint8_t>(opcode), key.size(),
-               read ? kGetExtras : 0, status, value.size() + remaining_value_bytes, opaque, cas);
+               read ? kGetExtrasBytes : 0, status, value.size() + remaining_value_bytes, opaque,
+               cas);
   if (read) store(text, flags);
   text.append(key).append(value);
   return text;
--- a/src/protocol/binary.hpp
+++ b/src/protocol/binary.hpp
@@ -1,8 +1,8 @@
-// memcached's binary protocol, read incrementally from bytes and written, both directions. No
-// sockets here; every buffer is bounded.
+// Incremental parser and encoder of memcached's binary protocol, for requests and responses. No
+// sockets; all buffers are bounded.
 //
 // Source: "Memcache Binary Protocol" (draft-stone-memcache-binary-01) and memcached's
-// protocol_binary.h. All figures on the wire are in network byte order; a packet is a header of 24
+// protocol_binary.h. All numbers on the wire are in network byte order; a packet is a header of 24
 // bytes and a body of extras, key and value.
 #pragma once
 
@@ -17,7 +17,7 @@
 constexpr std::size_t kHeader = 24;  ///< bytes
 constexpr unsigned char kRequestMagic = 0x80, kResponseMagic = 0x81;
 
-/// The opcodes that mean something here; a packet may hold any other.
+/// The supported opcodes; a packet may have any other.
 enum class Opcode : std::uint8_t {
   Get = 0x00,
   Set = 0x01,
@@ -38,7 +38,7 @@
 constexpr bool is_quiet(Opcode o) {
   return o == Opcode::GetQ || o == Opcode::GetKQ || o == Opcode::SetQ || o == Opcode::QuitQ;
 }
-/// Its answer to a read names the key.
+/// Whether the response to a read with this opcode includes the key.
 constexpr bool includes_key(Opcode o) { return o == Opcode::GetK || o == Opcode::GetKQ; }
 
 namespace status {
@@ -52,25 +52,24 @@
   Opcode opcode = Opcode::Noop;
   std::uint32_t opaque = 0;
   std::uint64_t cas = 0;
-  std::uint32_t flags = 0, expiry = 0;  ///< of a write; expiry as memcached reads it, in seconds
+  std::uint32_t flags = 0, expiry = 0;  ///< of a write; expiry in seconds, as in memcached
   std::string key, value;
 };
 
-/// Reads requests. `parse` consumes from `in`; what it can't finish yet it keeps, at most a header,
+/// Parses requests. `parse` consumes from `in` and buffers an incomplete packet, at most a header,
 /// a key and kMaxValue bytes.
 class CommandReader {
  public:
   enum class ParseResult {
-    Incomplete,   ///< all of `in` is consumed, no packet is whole
-    Command,      ///< `command` is whole
-    Rejected,     ///< its opcode and opaque are in `command`, why in rejection_status(); the next
-                  ///< packet follows
-    FramingLost,  ///< the same, but where the next packet begins is lost: answer and close
+    Incomplete,   ///< all of `in` is consumed, no packet is complete
+    Command,      ///< `command` is complete
+    Rejected,     ///< `command` has the opcode and opaque, rejection_status() the reason
+    FramingLost,  ///< as Rejected, but the start of the next packet is unknown: answer and close
   };
   ParseResult parse(std::string_view& in, Command& command);
-  /// The status that a packet not taken is to be answered with.
-  std::uint16_t rejection_status() const { return refused_; }
-  /// True while a packet has come in part.
+  /// The response status for a packet that was rejected.
+  std::uint16_t rejection_status() const { return rejection_status_; }
+  /// True while a packet is incomplete.
   bool in_command() const { return !partial_.empty() || state_ != State::Header; }
 
  private:
@@ -79,8 +78,8 @@
 
   State state_ = State::Header;
   std::string partial_;  // of the header, then of extras, key and value
-  std::size_t extras_ = 0, key_ = 0, need_ = 0;
-  std::uint16_t refused_ = 0;
+  std::size_t extras_size_ = 0, key_size_ = 0, bytes_needed_ = 0;
+  std::uint16_t rejection_status_ = 0;
   Command pending_;
 };
 
@@ -90,20 +89,20 @@
   std::uint16_t status = 0;
   std::uint32_t opaque = 0;
   std::uint64_t cas = 0;
-  std::uint32_t flags = 0;  ///< of a read that was served
-  std::string key, value;   ///< the value of any other status is its text
+  std::uint32_t flags = 0;  ///< of a successful read
+  std::string key, value;   ///< the value of any status but kOk is its text
 };
 
-/// Reads responses of one connection, in their order.
+/// Parses the responses of one connection in order.
 class AnswerReader {
  public:
   enum class ParseResult {
-    Incomplete,  ///< all of `in` is consumed, no packet is whole
-    Answer,      ///< `answer` is whole
-    Malformed,   ///< no response of the protocol; the connection is of no more use
+    Incomplete,  ///< all of `in` is consumed, no packet is complete
+    Answer,      ///< `answer` is complete
+    Malformed,   ///< not a response of the protocol; the connection must be closed
   };
   ParseResult parse(std::string_view& in, Answer& answer);
-  /// True while a packet has come in part.
+  /// True while a packet is incomplete.
   bool in_answer() const { return !partial_.empty() || in_body_; }
 
  private:
@@ -111,20 +110,20 @@
 
   bool in_body_ = false;
   std::string partial_;
-  std::size_t extras_ = 0, key_ = 0, need_ = 0;
+  std::size_t extras_size_ = 0, key_size_ = 0, bytes_needed_ = 0;
   Answer pending_;
 };
 
-/// The bytes of a request. Key at most kMaxKey bytes, value at most kMaxValue.
+/// Encodes a request. The key has at most kMaxKey bytes, the value at most kMaxValue.
 std::string request(const Command& command);
 
-/// The bytes of a response. `flags` go out with a read's kOk alone, `key` where the opcode tells
-/// it. `remaining_value_bytes`: bytes of the value that follow apart from this.
+/// Encodes a response. `flags` are sent only for a read with kOk, `key` if the opcode includes it.
+/// `remaining_value_bytes`: size of the rest of the value, which the caller sends separately.
 std::string response(Opcode opcode, std::uint16_t status, std::uint32_t opaque,
                      std::string_view value = {}, std::string_view key = {},
                      std::uint32_t flags = 0, std::uint64_t cas = 0,
                      std::size_t remaining_value_bytes = 0);
-/// One figure of a STAT answer; without name and value, its end.
+/// Encodes one value of a STAT response; without name and value, its end.
 std::string stat(std::uint32_t opaque, std::string_view name, std::string_view value);
 
 }  // namespace arrowfork::binary
--- a/src/protocol/meta.cpp
+++ b/src/protocol/meta.cpp
@@ -10,32 +10,32 @@
 namespace arrowfork {
 namespace {
 
-// Set aside for a value before its bytes have come: the usual ones fit, and lengths that are only
-// said cost no memory.
+// Reserved for a value before it arrives: enough for usual values, while an announced length alone
+// costs no memory.
 constexpr std::size_t kFirstReserve = 4096;
 
 template <typename T>
-std::optional<T> number(std::string_view text) {
+std::optional<T> parse_number(std::string_view text) {
   T value{};
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-/// The next word of `rest`, which it is taken from with the space behind it; empty where two spaces
-/// stand together, and at the end.
+/// Removes the next word and the space after it from `rest` and returns the word. It is empty
+/// between two adjacent spaces and at the end.
 std::string_view next_word(std::string_view& rest) {
   std::string_view word = rest.substr(0, rest.find(' '));
   rest.remove_prefix(std::min(rest.size(), word.size() + 1));
   return word;
 }
 
-/// Moves bytes up to and with the next '\n' from `in` behind `partial`. Gives the line without its
-/// end when it is whole; it lives in `in`'s memory or in `partial`, which the caller clears then.
-/// The '\r' before it stays, and with it what tells a line of the protocol from others. Sets
-/// `too_long` when no line end came within kMaxLine bytes.
-std::optional<std::string_view> take_text_line(std::string_view& in, std::string& partial,
-                                               bool& too_long) {
+/// Moves bytes up to and including the next '\n' from `in` to the end of `partial`. Returns the
+/// line without '\n' once it is complete; it points into `in` or into `partial`, which the caller
+/// clears afterwards. A '\r' before the '\n' stays, since it distinguishes lines of the protocol
+/// from others. Sets `too_long` if there is no line end within kMaxLine bytes.
+std::optional<std::string_view> take_line(std::string_view& in, std::string& partial,
+                                          bool& too_long) {
   std::size_t end = in.find('\n');
   std::size_t size = end == in.npos ? in.size() : end + 1;
   if (partial.size() + size > kMaxLine) {
@@ -51,7 +51,7 @@
   return line;
 }
 
-/// Moves up to `need` bytes from `in` behind `to`.
+/// Moves up to `need` bytes from `in` to the end of `to`.
 void take_bytes(std::string_view& in, std::string& to, std::size_t& need) {
   std::size_t size = std::min(need, in.size());
   to.append(in.data(), size);
@@ -59,39 +59,39 @@
   need -= size;
 }
 
-bool ends_line(const std::string& value) {
+bool ends_with_crlf(const std::string& value) {
   return value.size() >= 2 && value[value.size() - 2] == '\r' && value.back() == '\n';
 }
 
-/// Takes the '\r' off the end of a line; false where there is none, or where anything else but
-/// printable ASCII stands in it.
-bool printable(std::string_view& line) {
+/// Removes the '\r' at the end of a line; returns false if there is none or the line contains
+/// anything but printable ASCII.
+bool strip_printable_line(std::string_view& line) {
   if (line.empty() || line.back() != '\r') return false;
   line.remove_suffix(1);
   return std::all_of(line.begin(), line.end(), [](unsigned char c) { return c >= 32 && c < 127; });
 }
 
-bool well_sized(std::string_view text, std::size_t most) {
+bool has_valid_size(std::string_view text, std::size_t most) {
   return !text.empty() && text.size() <= most;
 }
 
-/// A figure that a client gives: finite, not negative, and small enough for any unit it is put in.
-std::optional<double> amount(std::string_view text) {
-  auto value = number<double>(text);
+/// Parses a number from a client: finite, not negative, and small enough to convert to any unit.
+std::optional<double> parse_amount(std::string_view text) {
+  auto value = parse_number<double>(text);
   if (!value || !(*value >= 0 && *value <= 1e12)) return std::nullopt;
   return value;
 }
 
 }  // namespace
 
-/// Reads what stands behind the verb, a read's or a write's: exactly what PROTOCOL gives clients to
-/// send, since it goes on as it is over a connection that others share, and a cache server closes
-/// on what it can't read.
+/// Parses a command after its verb. Accepts only the form that PROTOCOL allows, since the line is
+/// forwarded unchanged over a connection shared with other requests, and a cache server closes a
+/// connection on a line that it cannot parse.
 bool CommandReader::parse_line(std::string_view line, Command& command) const {
   std::string_view rest = line;
   next_word(rest);
   command.key = next_word(rest);
-  if (!well_sized(command.key, kMaxKey)) return false;
+  if (!has_valid_size(command.key, kMaxKey)) return false;
   if (command.set) next_word(rest);  // the length
   std::string_view pairs;
   bool value_wanted = false, flags_set = false;
@@ -103,20 +103,20 @@
       command.id = flag.substr(1);
     else if (flag.starts_with('P') && pairs.empty())
       pairs = flag.substr(1);
-    else if (flags_ && flag == "f" && !command.set && !command.wants_flags)
+    else if (flags_enabled_ && flag == "f" && !command.set && !command.wants_flags)
       command.wants_flags = true;
-    else if (flags_ && flag.starts_with('F') && command.set && !flags_set) {
-      auto flags = number<std::uint32_t>(flag.substr(1));
+    else if (flags_enabled_ && flag.starts_with('F') && command.set && !flags_set) {
+      auto flags = parse_number<std::uint32_t>(flag.substr(1));
       if (!flags) return false;
       command.flags = *flags;
       flags_set = true;
     } else
       return false;
   }
-  if (line.ends_with(' ') || value_wanted == command.set || !well_sized(command.id, kMaxId) ||
+  if (line.ends_with(' ') || value_wanted == command.set || !has_valid_size(command.id, kMaxId) ||
       pairs.empty())
     return false;
-  std::string_view at_d;
+  std::string_view deadline_text;
   for (std::string_view left = pairs; !left.empty();) {
     std::string_view pair = left.substr(0, left.find(','));
     left.remove_prefix(std::min(left.size(), pair.size() + 1));
@@ -130,34 +130,34 @@
       if (!command.tenant.empty()) return false;
       command.tenant = value;
     } else if (name == "k") {
-      if (!command.idempotency_key.empty() || !well_sized(value, kMaxId)) return false;
+      if (!command.idempotency_key.empty() || !has_valid_size(value, kMaxId)) return false;
       command.idempotency_key = value;
     } else if (name == "r") {
       if (value != "1" && value != "0") return false;
       command.retry = value == "1";
     } else if (name == "h") {
-      auto work = amount(value);
+      auto work = parse_amount(value);
       if (!work || command.work) return false;
       command.work = static_cast<std::int64_t>(*work);
     } else if (name == "size") {
-      if (!amount(value)) return false;
+      if (!parse_amount(value)) return false;
     } else if (name == "d") {
-      auto wait = amount(value);
-      if (!wait || !at_d.empty()) return false;
+      auto wait = parse_amount(value);
+      if (!wait || !deadline_text.empty()) return false;
       command.time_left_ms = *wait;
-      at_d = value;
+      deadline_text = value;
     }
   }
-  if (command.class_name.empty() || at_d.empty()) return false;
-  std::size_t cut = static_cast<std::size_t>(at_d.data() - line.data());
+  if (command.class_name.empty() || deadline_text.empty()) return false;
+  std::size_t cut = static_cast<std::size_t>(deadline_text.data() - line.data());
   command.line_before_deadline = line.substr(0, cut);
-  command.line_after_deadline = line.substr(cut + at_d.size());
+  command.line_after_deadline = line.substr(cut + deadline_text.size());
   return true;
 }
 
 CommandReader::ParseResult CommandReader::parse_command_line(std::string_view line,
                                                              Command& command) {
-  bool good = printable(line);
+  bool good = strip_printable_line(line);
   std::string_view rest = line;
   std::string_view verb = next_word(rest);
   if (verb == "mn" && good) return ParseResult::Noop;
@@ -167,19 +167,20 @@
   if (!command.set)
     return good && parse_line(line, command) ? ParseResult::Command : ParseResult::Malformed;
   next_word(rest);
-  auto length = number<std::size_t>(next_word(rest));
-  // Without its length nobody can tell where the value ends; one that is too long is not waited
-  // for.
+  auto length = parse_number<std::size_t>(next_word(rest));
+  // Without a valid length the end of the value is unknown; one that is too long is not read.
   if (!length || *length > kMaxLargeValue) return ParseResult::FramingLost;
-  value_need_ = value_size_ = *length + 2;
+  value_bytes_needed_ = value_size_ = *length + 2;
   if (!good || !parse_line(line, command)) {
-    state_ = State::Skip;  // told once its value is past
+    state_ = State::Skip;  // reported once its value is skipped
     return ParseResult::Incomplete;
   }
   state_ = State::Value;
   value_ = std::make_shared<std::string>();
-  // A large one is not let grow by doubling; its pages are not there before its bytes.
-  value_->reserve(value_need_ > kMaxValue ? value_need_ : std::min(value_need_, kFirstReserve));
+  // A large value gets its full capacity at once instead of growing by doubling; its pages are not
+  // allocated before the bytes arrive.
+  value_->reserve(value_bytes_needed_ > kMaxValue ? value_bytes_needed_
+                                                  : std::min(value_bytes_needed_, kFirstReserve));
   pending_ = std::move(command);
   return ParseResult::Incomplete;
 }
@@ -189,26 +190,26 @@
     if (state_ == State::Line) {
       if (in.empty()) return ParseResult::Incomplete;
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = take_line(in, partial_, too_long);
       if (too_long) return ParseResult::FramingLost;
       if (!line) return ParseResult::Incomplete;
       ParseResult result = parse_command_line(*line, command);
       partial_.clear();
       if (result != ParseResult::Incomplete) return result;
     } else if (state_ == State::Value) {
-      take_bytes(in, *value_, value_need_);
-      if (value_need_ > 0) return ParseResult::Incomplete;
+      take_bytes(in, *value_, value_bytes_needed_);
+      if (value_bytes_needed_ > 0) return ParseResult::Incomplete;
       state_ = State::Line;
-      if (!ends_line(*value_)) return ParseResult::FramingLost;
+      if (!ends_with_crlf(*value_)) return ParseResult::FramingLost;
       value_->resize(value_->size() - 2);
       pending_.value = std::move(value_);
       command = std::move(pending_);
       return ParseResult::Command;
     } else {
-      std::size_t size = std::min(value_need_, in.size());
+      std::size_t size = std::min(value_bytes_needed_, in.size());
       in.remove_prefix(size);
-      value_need_ -= size;
-      if (value_need_ > 0) return ParseResult::Incomplete;
+      value_bytes_needed_ -= size;
+      if (value_bytes_needed_ > 0) return ParseResult::Incomplete;
       state_ = State::Line;
       return ParseResult::Malformed;
     }
@@ -217,12 +218,12 @@
 
 namespace {
 
-/// More than this of a load report's field is no load.
-double most_of(robinseam::ReportField field) {
+/// Largest plausible value of a field of a load report.
+double max_value_of(robinseam::ReportField field) {
   switch (field) {
     case robinseam::ReportField::Utilization:
     case robinseam::ReportField::HitShare:
-      return 2;  // shares, a little noisy
+      return 2;  // shares, with some noise
     default:
       return 1e6;
   }
@@ -238,22 +239,21 @@
     std::size_t eq = pair.find('=');
     if (eq == pair.npos) continue;
     auto field = robinseam::drill::parse_report_field(pair.substr(0, eq));
-    auto value = number<double>(pair.substr(eq + 1));
-    // Unreadable: skipped. Every field is a load, a time or a share: none is negative, and none is
-    // so large that it could upset a mean.
-    if (!field || !value || !(*value >= 0 && *value <= most_of(*field))) continue;
+    auto value = parse_number<double>(pair.substr(eq + 1));
+    // Invalid fields are skipped. Every field is a load, a time or a share: negative values are
+    // invalid, and so are those large enough to distort a mean.
+    if (!field || !value || !(*value >= 0 && *value <= max_value_of(*field))) continue;
     auto at = std::find(fields_->begin(), fields_->end(), *field);
     if (at != fields_->end())
       answer.report[static_cast<std::size_t>(at - fields_->begin())] = *value;
   }
 }
 
-/// A line that is not of the protocol's form is no answer, whatever it begins with: nothing in it
-/// is to be believed. Only a load report, which stands last, may be unreadable in an answer that is
-/// good.
+/// A line that is not in the protocol's form is not an answer, whatever it begins with, and nothing
+/// in it is used. Only the load report, at the end of the line, may be invalid in a valid answer.
 bool AnswerReader::parse_line(std::string_view line, Answer& answer) const {
   answer = Answer();
-  // Apart from the line: what can't be read may hold any byte.
+  // Parsed apart from the line, since an invalid report may contain any byte.
   std::string_view report;
   if (std::size_t at = line.find(" L"); at != line.npos) {
     report = line.substr(at + 2);
@@ -271,7 +271,7 @@
   std::string_view verb = next_word(rest);
   if (verb == "VA") {
     answer.kind = Answer::Kind::Value;
-    auto length = number<std::size_t>(next_word(rest));
+    auto length = parse_number<std::size_t>(next_word(rest));
     if (!length || *length > kMaxLargeValue) return false;
     answer.length = *length;
   } else if (verb == "HD") {
@@ -293,15 +293,15 @@
     std::string_view value = flag.substr(1);
     switch (flag[0]) {
       case 'O':
-        if (!answer.id.empty() || !well_sized(value, kMaxId)) return false;
+        if (!answer.id.empty() || !has_valid_size(value, kMaxId)) return false;
         answer.id = value;
         break;
       case 'c':
-        if (!answer.receipt.empty() || !well_sized(value, kMaxId)) return false;
+        if (!answer.receipt.empty() || !has_valid_size(value, kMaxId)) return false;
         answer.receipt = value;
         break;
       case 'f':
-        answer.flags = number<std::uint32_t>(value);
+        answer.flags = parse_number<std::uint32_t>(value);
         break;
       case 'h':
         answer.cache_result = value == "1" ? 1 : value == "0" ? 2 : 0;
@@ -323,9 +323,9 @@
 
 namespace {
 
-/// Whether `part` can become the line of an answer. Noise need not be waited for to end: the time
-/// until it does is the client's.
-bool may_begin(std::string_view part) {
+/// Whether `part` can be the start of an answer line. Anything else is reported without waiting for
+/// its end, which would use up the client's time.
+bool can_start_answer(std::string_view part) {
   std::string_view verb = part.substr(0, part.find_first_of(" \r"));
   bool whole = verb.size() < part.size();
   for (std::string_view known :
@@ -337,7 +337,7 @@
 }  // namespace
 
 bool AnswerReader::ends_early() const {
-  return state_ == State::Value && ends_line(pending_.value);
+  return state_ == State::Value && ends_with_crlf(pending_.value);
 }
 
 AnswerReader::ParseResult AnswerReader::parse(std::string_view& in, Answer& answer) {
@@ -345,23 +345,24 @@
     if (state_ == State::Line) {
       if (in.empty()) return ParseResult::Incomplete;
       bool too_long = false;
-      auto line = take_text_line(in, partial_, too_long);
+      auto line = take_line(in, partial_, too_long);
       if (too_long) return ParseResult::Malformed;
-      if (!line) return may_begin(partial_) ? ParseResult::Incomplete : ParseResult::Malformed;
+      if (!line)
+        return can_start_answer(partial_) ? ParseResult::Incomplete : ParseResult::Malformed;
       bool good = parse_line(*line, answer);
       partial_.clear();
       if (!good) return ParseResult::Malformed;
       if (answer.kind != Answer::Kind::Value) return ParseResult::Answer;
       if (answer.length > kMaxValue) return ParseResult::LargeValue;
-      need_ = answer.length + 2;
+      bytes_needed_ = answer.length + 2;
       pending_ = std::move(answer);
-      pending_.value.reserve(std::min(need_, std::max(in.size(), kFirstReserve)));
+      pending_.value.reserve(std::min(bytes_needed_, std::max(in.size(), kFirstReserve)));
       state_ = State::Value;
     }
-    take_bytes(in, pending_.value, need_);
-    if (need_ > 0) return ParseResult::Incomplete;
+    take_bytes(in, pending_.value, bytes_needed_);
+    if (bytes_needed_ > 0) return ParseResult::Incomplete;
     state_ = State::Line;
-    if (!ends_line(pending_.value)) return ParseResult::Malformed;
+    if (!ends_with_crlf(pending_.value)) return ParseResult::Malformed;
     pending_.value.resize(pending_.length);
     answer = std::move(pending_);
     return ParseResult::Answer;
--- a/src/rig/cache_server.cpp
+++ b/src/rig/cache_server.cpp
@@ -159,7 +159,7 @@
           binary::response(binary::Opcode::Noop, binary::status::kInvalid, 0, "bad magic"));
     while (!in.empty()) {
       Command c;
-      auto got = meta_reader_.take(in, c);
+      auto got = meta_reader_.parse(in, c);
       if (got == CommandReader::ParseResult::Incomplete) return;
       if (got == CommandReader::ParseResult::Noop) {
         schedule("MN\r\n");
--- a/src/store/committer.cpp
+++ b/src/store/committer.cpp
@@ -6,7 +6,7 @@
 namespace wheeldeal::store {
 namespace {
 
-constexpr auto kPatience = std::chrono::seconds(2);
+constexpr auto kMaxDiskWait = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -31,17 +31,17 @@
       Store::Batch batch = std::move(shared->batch);
       std::uint64_t now = shared->now;
       lock.unlock();
-      Error fault = journal->commit(batch.records, batch.first, batch.last);
-      bool kept = fault == Error::None;
-      // A disk without room for more changes may have it once it holds each key once.
-      bool compacts = (kept && journal->wants_compaction()) || fault == Error::DiskFull;
+      Error error = journal->commit(batch.records, batch.first, batch.last);
+      bool committed = error == Error::None;
+      // If the disk space is used up, a compaction, which keeps one record per key, may free some.
+      bool compacts = (committed && journal->wants_compaction()) || error == Error::DiskFull;
       Error compacted = compacts ? journal->compact(now) : Error::None;
       lock.lock();
       State& s = shared->state;
-      if (kept) s.durable = batch.last, ++s.commits;
-      s.failed += !kept;
+      if (committed) s.durable = batch.last, ++s.commits;
+      s.failed += !committed;
       s.compactions += compacts && compacted == Error::None;
-      s.fault = kept ? compacted : fault;
+      s.error = committed ? compacted : error;
       s.disk_bytes = journal->bytes();
       s.busy = false;
       shared->changed.notify_all();
@@ -55,7 +55,7 @@
   std::unique_lock lock(shared_->lock);
   shared_->stop = true;
   shared_->changed.notify_all();
-  bool ended = shared_->changed.wait_for(lock, kPatience, [&] { return shared_->ended; });
+  bool ended = shared_->changed.wait_for(lock, kMaxDiskWait, [&] { return shared_->ended; });
   lock.unlock();
   ended ? thread_.join() : thread_.detach();
 }
@@ -67,7 +67,7 @@
 
 bool Committer::wait_until_idle() const {
   std::unique_lock lock(shared_->lock);
-  return shared_->changed.wait_for(lock, kPatience, [&] { return !shared_->state.busy; });
+  return shared_->changed.wait_for(lock, kMaxDiskWait, [&] { return !shared_->state.busy; });
 }
 
 bool Committer::submit(const Store::Batch& batch, std::uint64_t now) {
--- a/src/store/committer.hpp
+++ b/src/store/committer.hpp
@@ -1,5 +1,5 @@
-// Carries batches to the journal on a thread of its own, so that the router's loop never waits for
-// a disk. The two share one batch at a time under a lock that is held for a copy, no longer.
+// Commits batches to the journal on a separate thread, so that the router's event loop never waits
+// for a disk. They share one batch at a time, under a lock that is held only for a copy.
 #pragma once
 
 #include <condition_variable>
@@ -14,22 +14,22 @@
 class Committer {
  public:
   explicit Committer(std::shared_ptr<Journal> journal);
-  /// Waits for the commit that is under way, if the disk lets it end within `patience`; a disk that
-  /// hangs for longer is left to the end of the process.
+  /// Waits up to kMaxDiskWait for the commit under way. If the disk hangs for longer, the thread is
+  /// detached and ends with the process.
   ~Committer();
 
   struct State {
-    std::uint64_t durable = 0;  ///< everything up to this change
-    Error fault = Error::None;  ///< of the last try
+    std::uint64_t durable = 0;  ///< all changes up to this one are durable
+    Error error = Error::None;  ///< of the last commit or compaction
     std::uint64_t commits = 0, compactions = 0, failed = 0;
     std::size_t disk_bytes = 0;
     bool busy = false;
   };
   State state() const;
-  /// Until no batch is under way, or a disk that hangs has had its time; true: none is.
+  /// Waits until no commit is under way, for at most kMaxDiskWait. Returns true if none is.
   bool wait_until_idle() const;
-  /// Takes the batch where none is under way; false else. After a fault the next one has to begin
-  /// with the same changes.
+  /// Starts to commit the batch; returns false if a commit is under way or the batch is empty.
+  /// After an error the next batch has to begin with the same changes.
   bool submit(const Store::Batch& batch, std::uint64_t now);
 
  private:
--- a/src/store/disk_list_persistence.cpp
+++ b/src/store/disk_list_persistence.cpp
@@ -11,83 +11,90 @@
 using arrowfork::kSecond;
 
 constexpr const char* kListKey = "list";
-// A list that discovery confirms without a change is written again after this time, so that the
-// disk is not written with each watch. It bounds what the age may be too high by.
-constexpr Micros kConfirm = 5 * kSecond;
+// An unchanged list that discovery confirms again is rewritten at most this often, so that not
+// every watch causes a disk write. The recorded age of the list is too high by at most this
+// interval.
+constexpr Micros kRewriteInterval = 5 * kSecond;
 
 }  // namespace
 
 DiskListPersistence::DiskListPersistence(const arrowfork::StoreSettings& settings,
-                                         std::string owner, std::function<Micros()> wall)
-    : settings_(settings), owner_(std::move(owner)), wall_(std::move(wall)), store_(limits_) {
+                                         std::string owner, std::function<Micros()> unix_time)
+    : settings_(settings),
+      owner_(std::move(owner)),
+      unix_time_(std::move(unix_time)),
+      store_(limits_) {
   limits_.disk_bytes = settings.disk_bytes;
   limits_.memory_bytes = settings.memory_bytes;
   store_ = Store(limits_);
-  std::shared_ptr<FileSystem> folder = real_file_system(settings.directory);
-  auto journal = std::make_shared<Journal>(folder, limits_);
+  std::shared_ptr<FileSystem> files = real_file_system(settings.directory);
+  auto journal = std::make_shared<Journal>(files, limits_);
   Journal::Contents opened;
-  if (Error fault = journal->open(opened); fault != Error::None) {
-    say(fault, "is not used");
+  if (Error error = journal->open(opened); error != Error::None) {
+    log_once(error, "is not used");
     return;
   }
-  std::fprintf(stderr,
-               "arrowfork: store %s: %zu entries of %zu files, %zu places damaged, %zu bytes cut\n",
-               settings.directory.c_str(), opened.entries.size(), opened.files,
-               opened.damaged_places, opened.trailing_bytes);
+  std::fprintf(
+      stderr,
+      "arrowfork: store %s: %zu entries from %zu files, %zu damaged places, %zu trailing bytes "
+      "ignored\n",
+      settings.directory.c_str(), opened.entries.size(), opened.files, opened.damaged_places,
+      opened.trailing_bytes);
   store_.load(std::move(opened));
   committer_ = std::make_unique<Committer>(std::move(journal));
 }
 
 DiskListPersistence::~DiskListPersistence() {
-  // What came while the disk was at work; what it takes after that is the end's own time.
+  // Writes the changes that came during the last commit; ~Committer waits for this one.
   if (committer_ && committer_->wait_until_idle()) continue_writing();
 }
 
 void DiskListPersistence::restore_list(arrowfork::Config& config) {
-  const Entry* entry = store_.get(kListKey, static_cast<std::uint64_t>(wall_()));
+  const Entry* entry = store_.get(kListKey, static_cast<std::uint64_t>(unix_time_()));
   if (!entry) return;
   try {
     Json json = Json::parse(entry->value);
     arrowfork::HostList list = arrowfork::parse_host_list(json.at("list").dump());
-    PersistedList kept;
-    kept.owner = json.at("owner").get<std::string>();
-    kept.confirmed = json.at("confirmed_us").get<Micros>();
-    kept.unverified = entry->unverified;
-    kept.has_usable_server = std::any_of(list.hosts.begin(), list.hosts.end(), [](const auto& h) {
-      return h.server.health == robinseam::Health::Ready;
-    });
-    trust_ =
-        assess_trust(kept, owner_, wall_(), settings_.max_trusted_list_age, settings_.max_list_age);
-    std::fprintf(stderr, "arrowfork: store: the kept list %s, %.1f s old, is %s: %s\n",
-                 list.version.c_str(), static_cast<double>(wall_() - kept.confirmed) / kSecond,
+    PersistedList persisted;
+    persisted.owner = json.at("owner").get<std::string>();
+    persisted.confirmed = json.at("confirmed_us").get<Micros>();
+    persisted.unverified = entry->unverified;
+    persisted.has_usable_server =
+        std::any_of(list.hosts.begin(), list.hosts.end(),
+                    [](const auto& h) { return h.server.health == robinseam::Health::Ready; });
+    trust_ = assess_trust(persisted, owner_, unix_time_(), settings_.max_trusted_list_age,
+                          settings_.max_list_age);
+    std::fprintf(stderr, "arrowfork: store: persisted list %s, %.1f s old: %s (%s)\n",
+                 list.version.c_str(),
+                 static_cast<double>(unix_time_() - persisted.confirmed) / kSecond,
                  trust_.trust == ListTrust::Discarded    ? "dropped"
-                 : trust_.trust == ListTrust::Unverified ? "asked about"
+                 : trust_.trust == ListTrust::Unverified ? "unverified"
                                                          : "taken",
                  trust_.reason);
-    // Whoever starts the process with a list knows better.
+    // A list in the configuration takes precedence.
     if (trust_.trust == ListTrust::Discarded || !config.initial_list.hosts.empty()) return;
     config.initial_list = std::move(list);
     config.initial_list_unverified = trust_.trust == ListTrust::Unverified;
   } catch (const std::exception& e) {
-    trust_ = {ListTrust::Discarded, "it can't be read"};
-    std::fprintf(stderr, "arrowfork: store: the kept list can't be read: %s\n", e.what());
+    trust_ = {ListTrust::Discarded, "it cannot be read"};
+    std::fprintf(stderr, "arrowfork: store: cannot read the persisted list: %s\n", e.what());
   }
 }
 
 void DiskListPersistence::on_list_confirmed(const arrowfork::HostList& list) {
   if (!committer_) return;
   std::string text = arrowfork::host_list_to_json(list);
-  Micros now = wall_();
-  if (text == last_text_ && now >= kept_at_ && now - kept_at_ < kConfirm) return;
+  Micros now = unix_time_();
+  if (text == last_list_json_ && now >= written_at_ && now - written_at_ < kRewriteInterval) return;
   Json json = {{"owner", owner_}, {"confirmed_us", now}, {"list", Json::parse(text)}};
   Store::Sequence token = 0;
   auto expires = static_cast<std::uint64_t>(now + settings_.max_list_age);
-  Error fault = store_.put(kListKey, json.dump(), expires, token);
-  if (fault != Error::None) {
+  Error error = store_.put(kListKey, json.dump(), expires, token);
+  if (error != Error::None) {
     ++dropped_;
-    return say(fault, "does not keep the list");
+    return log_once(error, "cannot store the list");
   }
-  last_text_ = std::move(text), kept_at_ = now;
+  last_list_json_ = std::move(text), written_at_ = now;
   continue_writing();
 }
 
@@ -96,17 +103,18 @@
   Committer::State s = committer_->state();
   if (s.busy) return;
   store_.mark_durable(s.durable);
-  store_.expire(static_cast<std::uint64_t>(wall_()));
-  faults_ = s.failed;
-  if (s.fault != Error::None || said_ != Error::None) say(s.fault, "can't be written");
-  committer_->submit(store_.batch(), static_cast<std::uint64_t>(wall_()));
+  store_.expire(static_cast<std::uint64_t>(unix_time_()));
+  failed_commits_ = s.failed;
+  if (s.error != Error::None || logged_error_ != Error::None)
+    log_once(s.error, "cannot be written");
+  committer_->submit(store_.batch(), static_cast<std::uint64_t>(unix_time_()));
 }
 
-/// Once for each fault, and once when it is over.
-void DiskListPersistence::say(Error fault, const char* what) {
-  if (fault == std::exchange(said_, fault)) return;
+/// Logs an error when it first occurs and once more when it is over.
+void DiskListPersistence::log_once(Error error, const char* what) {
+  if (error == std::exchange(logged_error_, error)) return;
   std::fprintf(stderr, "arrowfork: store %s %s: %s\n", settings_.directory.c_str(),
-               fault == Error::None ? "is written again" : what, name_of(fault));
+               error == Error::None ? "is writable again" : what, name_of(error));
 }
 
 std::vector<std::pair<std::string, std::string>> DiskListPersistence::stats() const {
@@ -123,7 +131,7 @@
   add("store_compactions", s.compactions);
   add("store_failed", s.failed);
   add("store_dropped", dropped_);
-  std::string state = committer_ ? name_of(s.fault) : "not used";
+  std::string state = committer_ ? name_of(s.error) : "not used";
   std::replace(state.begin(), state.end(), ' ', '_');
   all.emplace_back("store_state", std::move(state));
   return all;
--- a/src/store/disk_list_persistence.hpp
+++ b/src/store/disk_list_persistence.hpp
@@ -1,6 +1,7 @@
-// A router's kept state: the shell between the store, its thread and the router's loop.
+// Persists the server list of a router on disk. Connects the store and its thread to the router's
+// event loop.
 //
-// Whatever the disk does, the router serves on: what can't be kept is told once and counted.
+// Disk errors do not affect the router's service: they are logged once and counted.
 #pragma once
 
 #include <functional>
@@ -17,32 +18,32 @@
 
 class DiskListPersistence final : public arrowfork::ListPersistence {
  public:
-  /// Opens the folder of `settings` for the router of that name. Never fails: a folder that can't
-  /// be used is told in the log, and nothing is kept. `wall`: Unix time in microseconds.
+  /// Opens the directory of `settings` for the router named `owner`. Never fails: if the directory
+  /// cannot be used, this is logged and nothing is persisted. `unix_time`: in microseconds.
   DiskListPersistence(const arrowfork::StoreSettings& settings, std::string owner,
-                      std::function<Micros()> wall);
+                      std::function<Micros()> unix_time);
   ~DiskListPersistence() override;
 
-  /// Puts the kept list in the place of one that the configuration does not give.
+  /// Sets the configuration's initial list to the persisted list, unless it has one.
   void restore_list(arrowfork::Config& config);
   void on_list_confirmed(const arrowfork::HostList& list) override;
   void continue_writing() override;
   std::vector<std::pair<std::string, std::string>> stats() const override;
 
  private:
-  void say(Error fault, const char* what);
+  void log_once(Error error, const char* what);
 
   arrowfork::StoreSettings settings_;
   std::string owner_;
-  std::function<Micros()> wall_;
+  std::function<Micros()> unix_time_;
   Limits limits_;
   Store store_;
-  std::unique_ptr<Committer> committer_;  // none where the folder can't be used
-  TrustDecision trust_{ListTrust::Discarded, "nothing was kept"};
-  std::string last_text_;  // the list without its age
-  Micros kept_at_ = 0;
-  Error said_ = Error::None;
-  std::uint64_t faults_ = 0, dropped_ = 0;
+  std::unique_ptr<Committer> committer_;  // null if the directory cannot be used
+  TrustDecision trust_{ListTrust::Discarded, "no list was persisted"};
+  std::string last_list_json_;  // without the time of confirmation
+  Micros written_at_ = 0;
+  Error logged_error_ = Error::None;
+  std::uint64_t failed_commits_ = 0, dropped_ = 0;
 };
 
 }  // namespace wheeldeal::store
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -5,7 +5,7 @@
 namespace wheeldeal::store {
 namespace {
 
-constexpr std::uint8_t kEnds = 0x80;
+constexpr std::uint8_t kCommitEndBit = 0x80;
 constexpr std::string_view kMagic = "WDSTORE\n";
 
 template <class T>
@@ -15,7 +15,7 @@
 }
 
 template <class T>
-T got(std::string_view bytes, std::size_t at) {
+T load(std::string_view bytes, std::size_t at) {
   std::uint64_t value = 0;
   for (std::size_t k = 0; k < sizeof(T); ++k)
     value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[at + k])) << (8 * k);
@@ -43,11 +43,11 @@
 std::optional<Header> decode_header(std::string_view bytes) {
   if (bytes.size() < kFileHeaderBytes || bytes.substr(0, kMagic.size()) != kMagic)
     return std::nullopt;
-  if (got<std::uint32_t>(bytes, 24) != crc32c(bytes.substr(0, 24))) return std::nullopt;
+  if (load<std::uint32_t>(bytes, 24) != crc32c(bytes.substr(0, 24))) return std::nullopt;
   Header h;
-  h.version = got<std::uint32_t>(bytes, 8);
-  h.kind = static_cast<FileKind>(got<std::uint32_t>(bytes, 12));
-  h.base = got<std::uint64_t>(bytes, 16);
+  h.version = load<std::uint32_t>(bytes, 8);
+  h.kind = static_cast<FileKind>(load<std::uint32_t>(bytes, 12));
+  h.base = load<std::uint64_t>(bytes, 16);
   return h;
 }
 
@@ -56,7 +56,8 @@
   put(bytes, std::uint32_t{0});
   put(bytes, std::uint32_t{0});
   put(bytes, r.sequence);
-  put(bytes, static_cast<std::uint8_t>(static_cast<std::uint8_t>(r.type) | (r.ends ? kEnds : 0)));
+  put(bytes, static_cast<std::uint8_t>(static_cast<std::uint8_t>(r.type) |
+                                       (r.ends_commit ? kCommitEndBit : 0)));
   if (r.type == RecordType::Put || r.type == RecordType::Unverified)
     put(bytes, r.expires), put(bytes, static_cast<std::uint16_t>(r.key.size()));
   if (r.type == RecordType::End) put(bytes, r.count);
@@ -70,7 +71,7 @@
 
 void mark_commit_end(std::string& bytes, std::size_t at) {
   bytes[at + kRecordHeaderBytes - 1] =
-      static_cast<char>(bytes[at + kRecordHeaderBytes - 1] | kEnds);
+      static_cast<char>(bytes[at + kRecordHeaderBytes - 1] | kCommitEndBit);
   std::string crc;
   put(crc, crc32c(std::string_view(bytes).substr(at + 4)));
   bytes.replace(at, 4, crc);
@@ -78,21 +79,22 @@
 
 bool RecordReader::read_at(std::size_t at, Record& r, std::size_t& size) const {
   if (bytes_.size() - at < kRecordHeaderBytes) return false;
-  auto body = got<std::uint32_t>(bytes_, at + 4);
-  if (body > most_ || bytes_.size() - at - kRecordHeaderBytes < body) return false;
-  std::string_view whole = bytes_.substr(at, kRecordHeaderBytes + body);
-  if (got<std::uint32_t>(whole, 0) != crc32c(whole.substr(4))) return false;
+  auto body = load<std::uint32_t>(bytes_, at + 4);
+  if (body > max_body_bytes_ || bytes_.size() - at - kRecordHeaderBytes < body) return false;
+  std::string_view record_bytes = bytes_.substr(at, kRecordHeaderBytes + body);
+  if (load<std::uint32_t>(record_bytes, 0) != crc32c(record_bytes.substr(4))) return false;
   r = Record();
-  r.sequence = got<std::uint64_t>(whole, 8);
-  auto type = got<std::uint8_t>(whole, 16);
-  r.type = static_cast<RecordType>(type & ~kEnds), r.ends = (type & kEnds) != 0;
-  std::string_view rest = whole.substr(kRecordHeaderBytes);
+  r.sequence = load<std::uint64_t>(record_bytes, 8);
+  auto type = load<std::uint8_t>(record_bytes, 16);
+  r.type = static_cast<RecordType>(type & ~kCommitEndBit),
+  r.ends_commit = (type & kCommitEndBit) != 0;
+  std::string_view rest = record_bytes.substr(kRecordHeaderBytes);
   switch (r.type) {
     case RecordType::Put:
     case RecordType::Unverified: {
       if (rest.size() < 10) return false;
-      r.expires = got<std::uint64_t>(rest, 0);
-      std::size_t key = got<std::uint16_t>(rest, 8);
+      r.expires = load<std::uint64_t>(rest, 0);
+      std::size_t key = load<std::uint16_t>(rest, 8);
       if (rest.size() - 10 < key) return false;
       r.key = rest.substr(10, key), r.value = rest.substr(10 + key);
       break;
@@ -102,12 +104,12 @@
       break;
     case RecordType::End:
       if (rest.size() != 8) return false;
-      r.count = got<std::uint64_t>(rest, 0);
+      r.count = load<std::uint64_t>(rest, 0);
       break;
     default:
       return false;
   }
-  size = whole.size();
+  size = record_bytes.size();
   return true;
 }
 
@@ -117,7 +119,7 @@
     std::size_t size = 0;
     if (!read_at(at_, record, size)) continue;
     at_ += size;
-    whole_ = at_;
+    last_record_end_ = at_;
     return true;
   }
   return false;
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -1,16 +1,19 @@
-// The store's bytes. All figures are little endian.
+// The store's file format. All numbers are little endian.
 //
 //   file    magic "WDSTORE\n", u32 version, u32 kind (0 log, 1 snapshot), u64 base, u32 crc of
 //           these 24 bytes, u32 zero: 32 bytes; then records
-//   record  u32 crc of all that follows, u32 size of the body, u64 sequence, u8 type, body
-//   put     u64 expires (Unix time in microseconds; 0: never), u16 size of the key, key, value
-//   unverified the same as a put: it was kept past damage that may have changed it
-//   erase   the key
-//   the type's highest bit is set in the last record of a commit
-//   end     u64 records before it: the last one of a snapshot, which is no snapshot without it
+//   record  u32 crc of all that follows, u32 size of the body, u64 sequence, u8 type, body;
+//           the highest bit of the type is set in the last record of a commit
+//   body, by type:
+//     put         u64 expires (Unix microseconds; 0: never), u16 size of the key, key, value
+//     unverified  as put, for an entry that damage to the store may have changed
+//     erase       key
+//     end         u64 number of records before it; last record of a snapshot, which is invalid
+//                 without it
 //
-// A log's base is the sequence of its first record; a snapshot's that of the last change it holds.
-// Sequences rise by one with each change, so a hole tells of what is lost. CRC32C (Castagnoli).
+// The base of a log is the sequence of its first record, that of a snapshot the sequence of the
+// last change it contains. Sequences increase by one with each change, so a gap shows a lost
+// change. The checksum is CRC32C (Castagnoli).
 #pragma once
 
 #include <cstdint>
@@ -35,38 +38,39 @@
   std::uint64_t base = 0;
 };
 std::string encode_header(const Header& header);
-/// Nothing where it isn't one, or is damaged.
+/// Returns nothing if `bytes` do not start with a valid header.
 std::optional<Header> decode_header(std::string_view bytes);
 
-/// Views into the bytes it was read from.
+/// Key and value point into the bytes that the record was read from.
 struct Record {
   std::uint64_t sequence = 0;
   RecordType type = RecordType::Put;
-  bool ends = false;  ///< the last of its commit
+  bool ends_commit = false;  ///< the last record of its commit
   std::uint64_t expires = 0, count = 0;
   std::string_view key = {}, value = {};
 };
-/// Says in the record at `at`, the last of `bytes`, that its commit ends with it.
+/// Marks the record at `at`, the last one in `bytes`, as the last of its commit.
 void mark_commit_end(std::string& bytes, std::size_t at);
 void append(std::string& bytes, const Record& record);
 
-/// Reads a file's records in order; what is damaged is passed over, to the next whole record.
+/// Reads a file's records in order and skips damaged bytes up to the next valid record.
 class RecordReader {
  public:
-  /// `most`: bytes of a body; what claims more is damage.
-  RecordReader(std::string_view bytes, std::size_t most) : bytes_(bytes), most_(most) {}
-  /// The next whole record; false at the end.
+  /// `max_bytes`: largest valid body; a record with a larger one counts as damaged.
+  RecordReader(std::string_view bytes, std::size_t max_bytes)
+      : bytes_(bytes), max_body_bytes_(max_bytes) {}
+  /// Reads the next valid record; false at the end.
   bool next(Record& record);
-  /// Whether bytes were passed over before the record that came last.
+  /// Whether bytes were skipped before the last record.
   bool skipped() const { return skipped_; }
-  /// Bytes behind the last whole record, once next() has said false.
-  std::size_t trailing_bytes() const { return bytes_.size() - whole_; }
+  /// Bytes after the last valid record, once next() has returned false.
+  std::size_t trailing_bytes() const { return bytes_.size() - last_record_end_; }
 
  private:
   bool read_at(std::size_t at, Record& record, std::size_t& size) const;
   std::string_view bytes_;
-  std::size_t most_;
-  std::size_t at_ = 0, whole_ = 0;
+  std::size_t max_body_bytes_;
+  std::size_t at_ = 0, last_record_end_ = 0;
   bool skipped_ = false;
 };
 
--- a/src/store/journal.cpp
+++ b/src/store/journal.cpp
@@ -7,18 +7,20 @@
 namespace wheeldeal::store {
 namespace {
 
-constexpr std::string_view kLog = ".log", kSnapshot = ".snap", kNew = ".new";
-// A record that goes beyond a segment is written whole all the same.
-constexpr std::size_t kOver = 4;
+constexpr std::string_view kLogSuffix = ".log", kSnapshotSuffix = ".snap",
+                           kTemporarySuffix = ".new";
+// A file may exceed the limit of all files by this factor when it is read, since the last record of
+// a segment is written in full.
+constexpr std::size_t kMaxFileFactor = 4;
 
-std::string name_of(std::uint64_t base, std::string_view kind) {
+std::string file_name(std::uint64_t base, std::string_view kind) {
   char digits[17];
   std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(base));
   return digits + std::string(kind);
 }
 
-/// The number in the name of a file of that kind.
-bool base_of(const std::string& name, std::string_view kind, std::uint64_t& base) {
+/// Parses the sequence in the name of a file with the suffix `kind`.
+bool parse_file_name(const std::string& name, std::string_view kind, std::uint64_t& base) {
   if (name.size() != 16 + kind.size() || name.substr(16) != kind) return false;
   char* end = nullptr;
   std::string digits = name.substr(0, 16);
@@ -28,7 +30,7 @@
 
 struct Change {
   RecordType type = RecordType::Put;
-  bool ends = false;
+  bool ends_commit = false;
   std::uint64_t expires = 0;
   std::string key, value;
 };
@@ -45,11 +47,12 @@
   std::vector<std::string> names;
   if (Error f = files_->list(names); f != Error::None) return f;
   for (const std::string& name : names)
-    if (name.size() > kNew.size() && name.substr(name.size() - kNew.size()) == kNew)
-      (void)files_->remove(name);  // what is left of it costs only room
+    if (name.size() > kTemporarySuffix.size() &&
+        name.substr(name.size() - kTemporarySuffix.size()) == kTemporarySuffix)
+      (void)files_->remove(name);  // a leftover file only takes up disk space
   durable_ = opened.last;
-  // What was read may be in the system's memory alone, behind a process that was killed: it counts
-  // as durable once a snapshot has made it so.
+  // After a process that was killed, the data read may still be in the page cache only. It counts
+  // as durable once this process has written a snapshot.
   needs_snapshot_ = durable_ > 0;
   bytes_ = opened.bytes;
   live_bytes_ = kFileHeaderBytes;
@@ -57,7 +60,7 @@
   return Error::None;
 }
 
-/// Reads the newest whole snapshot, then the logs in order, up to that sequence.
+/// Reads the newest valid snapshot, then the logs in order, up to the sequence `up_to`.
 Error Journal::replay(Contents& opened, std::uint64_t up_to) {
   opened = Contents();
   std::vector<std::string> names;
@@ -65,20 +68,21 @@
   std::vector<std::pair<std::uint64_t, std::string>> snapshots, logs;
   for (std::string& name : names) {
     std::uint64_t base = 0;
-    if (base_of(name, kSnapshot, base))
+    if (parse_file_name(name, kSnapshotSuffix, base))
       snapshots.emplace_back(base, std::move(name));
-    else if (base_of(name, kLog, base))
+    else if (parse_file_name(name, kLogSuffix, base))
       logs.emplace_back(base, std::move(name));
   }
   std::sort(snapshots.rbegin(), snapshots.rend());
   std::sort(logs.begin(), logs.end());
-  std::size_t most = limits_.disk_bytes * kOver, body = limits_.record_bytes + kMaxKeyBytes + 10;
+  std::size_t max_bytes = limits_.disk_bytes * kMaxFileFactor,
+              body = limits_.record_bytes + kMaxKeyBytes + 10;
   std::string bytes;
   auto read = [&](const std::string& name) {
-    Error f = files_->read(name, most, bytes);
+    Error f = files_->read(name, max_bytes, bytes);
     if (f != Error::None) return f;
     ++opened.files, opened.bytes += bytes.size();
-    auto header = decode_header(bytes);  // one that is damaged does not matter to whole records
+    auto header = decode_header(bytes);  // a damaged header does not invalidate the records
     return header && header->version > kVersion ? Error::NewerVersion : Error::None;
   };
   auto records = [&] {
@@ -90,29 +94,29 @@
     RecordReader reader(records(), body);
     Record r;
     std::uint64_t count = 0;
-    bool whole = false, skipped = false;
+    bool complete = false, skipped = false;
     while (reader.next(r)) {
       skipped |= reader.skipped();
-      whole = r.type == RecordType::End && r.count == count;
+      complete = r.type == RecordType::End && r.count == count;
       if (r.type != RecordType::Put && r.type != RecordType::Unverified) continue;
       ++count;
       entries[std::string(r.key)] = {std::string(r.value), r.expires, r.sequence,
                                      r.type == RecordType::Unverified};
     }
-    if (!whole || skipped || base > up_to) {
-      ++opened
-            .damaged_places;  // an older one may still be there, and else what is whole in this one
+    if (!complete || skipped || base > up_to) {
+      ++opened.damaged_places;  // falls back to an older snapshot, else uses the valid records of
+                                // this one
       if (&snapshots.back().second != &name) continue;
     }
     opened.entries = std::move(entries);
     opened.last = base;
     break;
   }
-  auto doubt_all = [&] {
+  auto mark_all_unverified = [&] {
     for (auto& [key, entry] : opened.entries) entry.unverified = true;
   };
-  if (opened.damaged_places > 0) doubt_all();
-  // By sequence, the copy of the later file: it was written after a sync that had failed.
+  if (opened.damaged_places > 0) mark_all_unverified();
+  // A sequence may be in two files; the later one counts, since it was written after a failed sync.
   std::map<std::uint64_t, Change> changes;
   for (const auto& [base, name] : logs) {
     if (base > up_to) continue;
@@ -121,18 +125,20 @@
     Record r;
     while (reader.next(r))
       if (r.sequence > opened.last && r.sequence <= up_to)
-        changes[r.sequence] = {r.type, r.ends, r.expires, std::string(r.key), std::string(r.value)};
+        changes[r.sequence] = {r.type, r.ends_commit, r.expires, std::string(r.key),
+                               std::string(r.value)};
     opened.trailing_bytes = reader.trailing_bytes();
   }
   for (auto it = changes.begin(); it != changes.end(); ++it) {
     auto& [sequence, c] = *it;
     if (sequence != opened.last + 1) {
-      // A hole. A commit is begun once the one before it is durable: where another one stands
-      // behind that with the hole, something durable is lost, and may have changed any key. Else
-      // the hole is in the last commit, which nobody was told of.
-      auto end = std::find_if(it, changes.end(), [](const auto& one) { return one.second.ends; });
+      // A gap in the sequences. A commit starts only once the one before it is durable. If another
+      // commit follows the one with the gap, a durable change is lost, which may have changed any
+      // key. Otherwise the gap is in the last commit, which was never acknowledged.
+      auto end =
+          std::find_if(it, changes.end(), [](const auto& one) { return one.second.ends_commit; });
       if (end == changes.end() || std::next(end) == changes.end()) break;
-      ++opened.damaged_places, doubt_all();
+      ++opened.damaged_places, mark_all_unverified();
     }
     opened.last = sequence;
     if (c.type == RecordType::Erase)
@@ -147,11 +153,11 @@
   segment_.reset();
   segment_bytes_ = 0;
   std::unique_ptr<File> file;
-  if (Error f = files_->create(name_of(first, kLog), file); f != Error::None) return f;
+  if (Error f = files_->create(file_name(first, kLogSuffix), file); f != Error::None) return f;
   std::string header = encode_header({kVersion, FileKind::Log, first});
   if (Error f = file->append(header); f != Error::None) return f;
   if (Error f = file->sync(); f != Error::None) return f;
-  // Or the first acknowledged record would be in a file without a name.
+  // Otherwise the first acknowledged record could be in a file whose name is lost.
   if (Error f = files_->sync_directory(); f != Error::None) return f;
   segment_ = std::move(file);
   segment_bytes_ = header.size();
@@ -169,7 +175,7 @@
   if (f == Error::None) f = segment_->sync();
   segment_bytes_ += records.size(), bytes_ += records.size();
   if (f != Error::None) {
-    segment_.reset();  // nothing more is written behind what may or may not be there
+    segment_.reset();  // nothing may follow records that are possibly missing
     return f;
   }
   durable_ = last;
@@ -177,10 +183,11 @@
 }
 
 Error Journal::compact(std::uint64_t now) {
-  segment_.reset();  // what comes next goes to a segment that the snapshot does not stand for
+  segment_.reset();  // later changes go to a new segment, which the snapshot does not replace
   Contents all;
   if (Error f = replay(all, durable_); f != Error::None) return f;
-  if (all.last != durable_) return Error::Io;  // what was acknowledged can't be read: keep it all
+  if (all.last != durable_)
+    return Error::Io;  // acknowledged changes cannot be read: keep all files
   std::string bytes = encode_header({kVersion, FileKind::Snapshot, durable_});
   std::uint64_t count = 0;
   for (const auto& [key, e] : all.entries) {
@@ -193,24 +200,26 @@
     ++count;
   }
   append(bytes, {.sequence = durable_, .type = RecordType::End, .count = count});
-  std::string name = name_of(durable_, kSnapshot);
+  std::string name = file_name(durable_, kSnapshotSuffix);
   std::unique_ptr<File> file;
-  if (Error f = files_->create(name + std::string(kNew), file); f != Error::None) return f;
+  if (Error f = files_->create(name + std::string(kTemporarySuffix), file); f != Error::None)
+    return f;
   if (Error f = file->append(bytes); f != Error::None) return f;
   if (Error f = file->sync(); f != Error::None) return f;
   file.reset();
-  if (Error f = files_->rename(name + std::string(kNew), name); f != Error::None) return f;
+  if (Error f = files_->rename(name + std::string(kTemporarySuffix), name); f != Error::None)
+    return f;
   if (Error f = files_->sync_directory(); f != Error::None) return f;
-  // It is there for good: what it stands for may go.
+  // The snapshot is durable: the files that it replaces can be removed.
   std::vector<std::string> names;
   if (Error f = files_->list(names); f != Error::None) return f;
   needs_snapshot_ = false;
   bytes_ = live_bytes_ = bytes.size();
   for (const std::string& one : names) {
     std::uint64_t base = 0;
-    bool old = (base_of(one, kSnapshot, base) && base < durable_) ||
-               (base_of(one, kLog, base) && base <= durable_);
-    if (old) (void)files_->remove(one);  // else read once more, and passed over
+    bool old = (parse_file_name(one, kSnapshotSuffix, base) && base < durable_) ||
+               (parse_file_name(one, kLogSuffix, base) && base <= durable_);
+    if (old) (void)files_->remove(one);  // a file that remains is read again and ignored
   }
   return Error::None;
 }
--- a/src/store/list_trust.cpp
+++ b/src/store/list_trust.cpp
@@ -3,22 +3,23 @@
 namespace wheeldeal::store {
 namespace {
 
-// A clock that is set by others is off by this much without having jumped.
-constexpr Micros kSkew = 2'000'000;
+// Clocks of synchronized machines may differ by this much; a larger step back is a clock change.
+constexpr Micros kMaxClockSkew = 2'000'000;
 
 }  // namespace
 
-TrustDecision assess_trust(const PersistedList& kept, const std::string& self, Micros now,
-                           Micros trusted_for, Micros usable_for) {
-  if (kept.owner != self) return {ListTrust::Discarded, "another router kept it"};
-  if (!kept.has_usable_server) return {ListTrust::Discarded, "it names no usable server"};
-  Micros age = now - kept.confirmed;
-  // Its age can't be told: it may be of an hour ago as well as of now.
-  if (age < -kSkew) return {ListTrust::Unverified, "the clock was set back since"};
-  if (age > usable_for) return {ListTrust::Discarded, "it is too old to send by"};
-  if (kept.unverified) return {ListTrust::Unverified, "the store was damaged"};
-  if (age > trusted_for) return {ListTrust::Unverified, "it is not of now"};
-  return {ListTrust::Trusted, "it is of now"};
+TrustDecision assess_trust(const PersistedList& persisted, const std::string& self, Micros now,
+                           Micros max_trusted_age, Micros max_age) {
+  if (persisted.owner != self) return {ListTrust::Discarded, "written by another router"};
+  if (!persisted.has_usable_server) return {ListTrust::Discarded, "lists no usable server"};
+  Micros age = now - persisted.confirmed;
+  // The age of the list is unknown: it may as well be an hour old.
+  if (age < -kMaxClockSkew)
+    return {ListTrust::Unverified, "the clock was set back since it was written"};
+  if (age > max_age) return {ListTrust::Discarded, "too old"};
+  if (persisted.unverified) return {ListTrust::Unverified, "the store was damaged"};
+  if (age > max_trusted_age) return {ListTrust::Unverified, "older than the trusted age"};
+  return {ListTrust::Trusted, "recent enough"};
 }
 
 }  // namespace wheeldeal::store
--- a/src/store/list_trust.hpp
+++ b/src/store/list_trust.hpp
@@ -1,4 +1,4 @@
-// What a kept list is worth at a start. Pure.
+// Decides at a start whether the persisted list can be trusted. No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 using robinseam::Micros;
 
-/// What is known of a list that was kept, beside its servers.
+/// What is known about a persisted list apart from its servers.
 struct PersistedList {
-  std::string owner;              ///< the router that kept it
-  Micros confirmed = 0;           ///< when discovery last said that it holds; Unix time
-  bool unverified = false;        ///< the store was damaged behind it
-  bool has_usable_server = true;  ///< a server that may get something new is on it
+  std::string owner;              ///< name of the router that wrote it
+  Micros confirmed = 0;           ///< when discovery last confirmed it; Unix time
+  bool unverified = false;        ///< damage to the store may have changed it
+  bool has_usable_server = true;  ///< it lists a server that may get requests
 };
 
 enum class ListTrust {
-  Trusted,     ///< as a list that the process was handed: discovery confirms it in its spread
-  Unverified,  ///< the same, but discovery is asked at once: it is likely to have changed
-  Discarded,
+  Trusted,     ///< used like an inherited list: discovery confirms it within the usual delay
+  Unverified,  ///< used, but discovery is polled at once: it has probably changed
+  Discarded,   ///< not used
 };
 
 struct TrustDecision {
@@ -29,9 +29,9 @@
   const char* reason = "";
 };
 
-/// `now`: Unix time, of a clock that may have jumped since. `trusted_for`: up to this age it is
-/// taken, up to `usable_for` asked about.
-TrustDecision assess_trust(const PersistedList& kept, const std::string& self, Micros now,
-                           Micros trusted_for, Micros usable_for);
+/// `now`: Unix time, from a clock that may have been set since. Up to `max_trusted_age` a list is
+/// trusted, up to `max_age` it is unverified, beyond it is discarded.
+TrustDecision assess_trust(const PersistedList& persisted, const std::string& self, Micros now,
+                           Micros max_trusted_age, Micros max_age);
 
 }  // namespace wheeldeal::store
--- a/src/store/real_file_system.cpp
+++ b/src/store/real_file_system.cpp
@@ -15,9 +15,9 @@
 
 using arrowfork::Fd;
 
-constexpr const char* kLock = "LOCK";
+constexpr const char* kLockFile = "LOCK";
 
-Error fault_of(int error) {
+Error error_from_errno(int error) {
   switch (error) {
     case ENOSPC:
     case EDQUOT:
@@ -35,9 +35,9 @@
   }
 }
 
-Error sync_of(int fd, bool data_only) {
+Error sync_descriptor(int fd, bool data_only) {
   while ((data_only ? ::fdatasync(fd) : ::fsync(fd)) != 0)
-    if (errno != EINTR) return fault_of(errno);
+    if (errno != EINTR) return error_from_errno(errno);
   return Error::None;
 }
 
@@ -48,12 +48,12 @@
     while (!bytes.empty()) {
       ssize_t put = ::write(fd_.get(), bytes.data(), bytes.size());
       if (put < 0 && errno == EINTR) continue;
-      if (put < 0) return fault_of(errno);
+      if (put < 0) return error_from_errno(errno);
       bytes.remove_prefix(static_cast<std::size_t>(put));
     }
     return Error::None;
   }
-  Error sync() override { return sync_of(fd_.get(), true); }
+  Error sync() override { return sync_descriptor(fd_.get(), true); }
 
  private:
   Fd fd_;
@@ -66,40 +66,40 @@
   Error lock() override {
     std::error_code error;
     std::filesystem::create_directories(path_, error);
-    lock_ = Fd(::open(at(kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-    if (!lock_) return fault_of(errno);
+    lock_ = Fd(::open(at(kLockFile).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+    if (!lock_) return error_from_errno(errno);
     if (::flock(lock_.get(), LOCK_EX | LOCK_NB) == 0) return Error::None;
-    return errno == EWOULDBLOCK ? Error::Locked : fault_of(errno);
+    return errno == EWOULDBLOCK ? Error::Locked : error_from_errno(errno);
   }
 
   Error list(std::vector<std::string>& names) override {
     names.clear();
-    std::unique_ptr<DIR, int (*)(DIR*)> folder(::opendir(path_.c_str()), ::closedir);
-    if (!folder) return fault_of(errno);
+    std::unique_ptr<DIR, int (*)(DIR*)> directory(::opendir(path_.c_str()), ::closedir);
+    if (!directory) return error_from_errno(errno);
     while (true) {
       errno = 0;
-      dirent* entry = ::readdir(folder.get());
-      if (!entry) return errno == 0 ? Error::None : fault_of(errno);
+      dirent* entry = ::readdir(directory.get());
+      if (!entry) return errno == 0 ? Error::None : error_from_errno(errno);
       std::string name = entry->d_name;
-      if (name != "." && name != ".." && name != kLock) names.push_back(std::move(name));
+      if (name != "." && name != ".." && name != kLockFile) names.push_back(std::move(name));
     }
   }
 
-  Error read(const std::string& name, std::size_t most, std::string& bytes) override {
+  Error read(const std::string& name, std::size_t max_bytes, std::string& bytes) override {
     bytes.clear();
     Fd fd(::open(at(name).c_str(), O_RDONLY | O_CLOEXEC));
-    if (!fd) return fault_of(errno);
+    if (!fd) return error_from_errno(errno);
     struct stat info {};
-    if (::fstat(fd.get(), &info) != 0) return fault_of(errno);
+    if (::fstat(fd.get(), &info) != 0) return error_from_errno(errno);
     if (!S_ISREG(info.st_mode)) return Error::Io;
     auto size = static_cast<std::size_t>(info.st_size);
-    if (size > most) return Error::TooLarge;
+    if (size > max_bytes) return Error::TooLarge;
     bytes.resize(size);
     std::size_t got = 0;
     while (got < size) {
       ssize_t more = ::read(fd.get(), bytes.data() + got, size - got);
       if (more < 0 && errno == EINTR) continue;
-      if (more < 0) return fault_of(errno);
+      if (more < 0) return error_from_errno(errno);
       if (more == 0) break;
       got += static_cast<std::size_t>(more);
     }
@@ -109,22 +109,22 @@
 
   Error create(const std::string& name, std::unique_ptr<File>& file) override {
     Fd fd(::open(at(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
-    if (!fd) return fault_of(errno);
+    if (!fd) return error_from_errno(errno);
     file = std::make_unique<RealFile>(std::move(fd));
     return Error::None;
   }
 
   Error rename(const std::string& from, const std::string& to) override {
-    return ::rename(at(from).c_str(), at(to).c_str()) == 0 ? Error::None : fault_of(errno);
+    return ::rename(at(from).c_str(), at(to).c_str()) == 0 ? Error::None : error_from_errno(errno);
   }
 
   Error remove(const std::string& name) override {
-    return ::unlink(at(name).c_str()) == 0 ? Error::None : fault_of(errno);
+    return ::unlink(at(name).c_str()) == 0 ? Error::None : error_from_errno(errno);
   }
 
   Error sync_directory() override {
     Fd fd(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    return fd ? sync_of(fd.get(), false) : fault_of(errno);
+    return fd ? sync_descriptor(fd.get(), false) : error_from_errno(errno);
   }
 
  private:
@@ -135,8 +135,8 @@
 
 }  // namespace
 
-const char* name_of(Error fault) {
-  switch (fault) {
+const char* name_of(Error error) {
+  switch (error) {
     case Error::None:
       return "well";
     case Error::DiskFull:
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -24,14 +24,14 @@
   }
 }
 
-Error Store::change(const Record& record, Sequence& token) {
+Error Store::append_change(const Record& record, Sequence& token) {
   if (waiting_.size() + record.key.size() + record.value.size() + kRecordHeaderBytes + 10 >
       limits_.waiting_bytes)
     return Error::Backlogged;
   Record numbered = record;
   token = numbered.sequence = ++last_;
   append(waiting_, numbered);
-  ends_.emplace_back(token, waiting_.size());
+  change_ends_.emplace_back(token, waiting_.size());
   return Error::None;
 }
 
@@ -43,7 +43,7 @@
   std::size_t had = at == entries_.end() ? 0 : entry_bytes(key, at->second.value);
   if (memory_ - had + entry_bytes(key, value) > limits_.memory_bytes) return Error::DiskFull;
   Record r{.type = RecordType::Put, .expires = expires, .key = key, .value = value};
-  if (Error f = change(r, token); f != Error::None) return f;
+  if (Error f = append_change(r, token); f != Error::None) return f;
   memory_ = memory_ - had + entry_bytes(key, value);
   if (at == entries_.end()) at = entries_.emplace(key, Entry()).first;
   at->second = {std::string(value), expires, token, false};
@@ -54,7 +54,8 @@
   token = 0;
   auto at = entries_.find(key);
   if (at == entries_.end()) return Error::None;
-  if (Error f = change({.type = RecordType::Erase, .key = key}, token); f != Error::None) return f;
+  if (Error f = append_change({.type = RecordType::Erase, .key = key}, token); f != Error::None)
+    return f;
   memory_ -= entry_bytes(key, at->second.value);
   entries_.erase(at);
   return Error::None;
@@ -78,14 +79,16 @@
 Store::Batch Store::batch() const {
   if (waiting_.empty()) return {};
   Batch b{waiting_, durable_ + 1, last_};
-  mark_commit_end(b.records, ends_.size() > 1 ? ends_[ends_.size() - 2].second : 0);
+  mark_commit_end(b.records,
+                  change_ends_.size() > 1 ? change_ends_[change_ends_.size() - 2].second : 0);
   return b;
 }
 
 void Store::expire(std::uint64_t now) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const Entry& e = it->second;
-    // A change that waits is numbered already: it is written, and dropped by the next reader.
+    // A waiting change of an expired entry is still written, since its sequence is taken. The next
+    // reader drops it.
     bool over = e.expires != 0 && e.expires <= now;
     if (over) memory_ -= entry_bytes(it->first, e.value);
     it = over ? entries_.erase(it) : std::next(it);
@@ -94,13 +97,13 @@
 
 void Store::mark_durable(Sequence last) {
   durable_ = std::max(durable_, last);
-  auto end = std::find_if(ends_.begin(), ends_.end(),
+  auto end = std::find_if(change_ends_.begin(), change_ends_.end(),
                           [&](const auto& one) { return one.first > durable_; });
-  if (end == ends_.begin()) return;
+  if (end == change_ends_.begin()) return;
   std::size_t done = std::prev(end)->second;
   waiting_.erase(0, done);
-  ends_.erase(ends_.begin(), end);
-  for (auto& [token, at] : ends_) at -= done;
+  change_ends_.erase(change_ends_.begin(), end);
+  for (auto& [token, at] : change_ends_) at -= done;
 }
 
 }  // namespace wheeldeal::store
--- a/src/store/tool.cpp
+++ b/src/store/tool.cpp
@@ -10,16 +10,16 @@
 namespace wheeldeal::store {
 namespace {
 
-// A folder is read whole whatever bound its router has.
-constexpr Limits kAny{.disk_bytes = std::size_t{1} << 30};
+// A directory is read in full whatever the limits of its router are.
+constexpr Limits kReadLimits{.disk_bytes = std::size_t{1} << 30};
 
-int refuse(const std::string& folder, Error fault) {
-  std::fprintf(stderr, "%s: %s\n", folder.c_str(), name_of(fault));
+int report_error(const std::string& directory, Error error) {
+  std::fprintf(stderr, "%s: %s\n", directory.c_str(), name_of(error));
   return 2;
 }
 
-/// Keys may hold any bytes; what is not plain text is shown as \xHH.
-std::string shown(std::string_view text) {
+/// Keys may contain any bytes; those that are not printable ASCII become \xHH.
+std::string escape(std::string_view text) {
   std::string out;
   for (unsigned char c : text) {
     char code[8];
@@ -30,28 +30,28 @@
   return out;
 }
 
-int verdict(const std::string& folder, const Journal::Contents& all) {
+int print_summary(const std::string& directory, const Journal::Contents& all) {
   std::size_t unverified = 0;
   for (const auto& [key, entry] : all.entries) unverified += entry.unverified;
   std::printf(
-      "%s: %zu entries (%zu doubted), last change %llu, %zu files of %zu bytes, %zu places "
-      "damaged, %zu bytes cut\n",
-      folder.c_str(), all.entries.size(), unverified, static_cast<unsigned long long>(all.last),
+      "%s: %zu entries (%zu doubted), last change %llu, %zu files of %zu bytes, %zu damaged "
+      "places, %zu trailing bytes ignored\n",
+      directory.c_str(), all.entries.size(), unverified, static_cast<unsigned long long>(all.last),
       all.files, all.bytes, all.damaged_places, all.trailing_bytes);
   return all.damaged_places > 0 ? 1 : 0;
 }
 
-Error inspect(const std::string& folder, Journal::Contents& all) {
-  // Looking makes no folder.
-  if (!std::filesystem::is_directory(folder)) return Error::NotFound;
-  return Journal(real_file_system(folder), kAny).inspect(all);
+Error inspect(const std::string& directory, Journal::Contents& all) {
+  // Reading must not create the directory.
+  if (!std::filesystem::is_directory(directory)) return Error::NotFound;
+  return Journal(real_file_system(directory), kReadLimits).inspect(all);
 }
 
 }  // namespace
 
-int dump(const std::string& folder) {
+int dump(const std::string& directory) {
   Journal::Contents all;
-  if (Error f = inspect(folder, all); f != Error::None) return refuse(folder, f);
+  if (Error f = inspect(directory, all); f != Error::None) return report_error(directory, f);
   for (const auto& [key, entry] : all.entries) {
     char until[32] = "never";
     auto seconds = static_cast<std::time_t>(entry.expires / 1'000'000);
@@ -59,28 +59,28 @@
     if (entry.expires > 0)
       std::strftime(until, sizeof until, "%Y-%m-%dT%H:%M:%SZ", ::gmtime_r(&seconds, &utc));
     std::printf("%llu %s %s%s %s\n", static_cast<unsigned long long>(entry.sequence),
-                shown(key).c_str(), until, entry.unverified ? " doubted" : "",
-                shown(entry.value).c_str());
+                escape(key).c_str(), until, entry.unverified ? " doubted" : "",
+                escape(entry.value).c_str());
   }
-  return verdict(folder, all);
+  return print_summary(directory, all);
 }
 
-int check(const std::string& folder) {
+int check(const std::string& directory) {
   Journal::Contents all;
-  if (Error f = inspect(folder, all); f != Error::None) return refuse(folder, f);
-  return verdict(folder, all);
+  if (Error f = inspect(directory, all); f != Error::None) return report_error(directory, f);
+  return print_summary(directory, all);
 }
 
-int compact(const std::string& folder) {
-  if (!std::filesystem::is_directory(folder)) return refuse(folder, Error::NotFound);
-  Journal journal(real_file_system(folder), kAny);
+int compact(const std::string& directory) {
+  if (!std::filesystem::is_directory(directory)) return report_error(directory, Error::NotFound);
+  Journal journal(real_file_system(directory), kReadLimits);
   Journal::Contents all;
-  if (Error f = journal.open(all); f != Error::None) return refuse(folder, f);
+  if (Error f = journal.open(all); f != Error::None) return report_error(directory, f);
   using namespace std::chrono;
   auto now = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
   if (Error f = journal.compact(static_cast<std::uint64_t>(now)); f != Error::None)
-    return refuse(folder, f);
-  return check(folder);
+    return report_error(directory, f);
+  return check(directory);
 }
 
 }  // namespace wheeldeal::store
--- a/src/store/tool.hpp
+++ b/src/store/tool.hpp
@@ -1,16 +1,16 @@
-// `wheeldeal store`: what operators do with a folder by hand.
+// `wheeldeal store`: commands for operators on a store directory.
 #pragma once
 
 #include <string>
 
 namespace wheeldeal::store {
 
-/// Each prints to standard output and gives the exit status: 0 well, 1 damaged, 2 can't be used.
-/// Looking takes no lock, so a folder in service can be looked at; what it writes meanwhile may
-/// look torn.
-int dump(const std::string& folder);
-int check(const std::string& folder);
-/// Takes the lock: for a folder whose router is down.
-int compact(const std::string& folder);
+/// Each command prints to standard output and returns the exit status: 0 intact, 1 damaged,
+/// 2 unusable. dump and check take no lock, so they work on the directory of a running router;
+/// what it writes meanwhile may appear torn.
+int dump(const std::string& directory);
+int check(const std::string& directory);
+/// Takes the lock, so the router must not be running.
+int compact(const std::string& directory);
 
 }  // namespace wheeldeal::store
--- a/src/store/virtual_disk.cpp
+++ b/src/store/virtual_disk.cpp
@@ -15,7 +15,7 @@
       content_->bytes.append(bytes.substr(0, room));
       return Error::DiskFull;
     }
-    // A write that fails, or in which the power goes, is there in part.
+    // A write that fails or is interrupted by a power loss is partly written.
     content_->bytes.append(f == Error::None ? bytes : bytes.substr(0, bytes.size() / 2));
     return f;
   }
@@ -33,19 +33,20 @@
 };
 
 Error VirtualDisk::step(Op kind) {
-  if (power_lost_ || done_ == power_lost_at_) {
+  if (power_lost_ || operations_done_ == power_loss_at_) {
     power_lost_ = true;
     return Error::Io;
   }
-  ++done_;
-  auto at = failing_.find(kind);
-  if (at == failing_.end() || done_ <= at->second.from || at->second.times == 0) return Error::None;
+  ++operations_done_;
+  auto at = failures_.find(kind);
+  if (at == failures_.end() || operations_done_ <= at->second.from || at->second.times == 0)
+    return Error::None;
   --at->second.times;
   return at->second.with;
 }
 
 void VirtualDisk::fail_operations(Op kind, int after, int times, Error with) {
-  failing_[kind] = {done_ + after, times, with};
+  failures_[kind] = {operations_done_ + after, times, with};
 }
 
 std::size_t VirtualDisk::used() const {
@@ -60,11 +61,11 @@
   return step(Op::List);
 }
 
-Error VirtualDisk::read(const std::string& name, std::size_t most, std::string& bytes) {
+Error VirtualDisk::read(const std::string& name, std::size_t max_bytes, std::string& bytes) {
   if (Error f = step(Op::Read); f != Error::None) return f;
   auto at = names_.find(name);
   if (at == names_.end()) return Error::NotFound;
-  if (at->second->bytes.size() > most) return Error::TooLarge;
+  if (at->second->bytes.size() > max_bytes) return Error::TooLarge;
   bytes = at->second->bytes;
   return Error::None;
 }
@@ -101,7 +102,8 @@
 std::shared_ptr<VirtualDisk> VirtualDisk::after_power_loss(std::uint64_t seed) const {
   std::mt19937_64 random(seed);
   auto next = std::make_shared<VirtualDisk>();
-  std::map<std::shared_ptr<Content>, std::shared_ptr<Content>> kept;  // a content has one fate
+  std::map<std::shared_ptr<Content>, std::shared_ptr<Content>>
+      kept;  // one content may have two names
   auto fate = [&](const std::shared_ptr<Content>& content) {
     auto& one = kept[content];
     if (one) return one;
@@ -109,7 +111,7 @@
     std::string bytes = content->bytes;
     std::size_t loose = bytes.size() - content->synced;
     bytes.resize(content->synced + (loose > 0 ? random() % (loose + 1) : 0));
-    // What came later may be on the disk without what came before it.
+    // Later bytes may have reached the disk without earlier ones.
     if (bytes.size() > content->synced && random() % 3 == 0) {
       std::size_t from = content->synced + random() % (bytes.size() - content->synced);
       std::size_t size = 1 + random() % (bytes.size() - from);
--- a/src/store/virtual_disk.hpp
+++ b/src/store/virtual_disk.hpp
@@ -1,5 +1,5 @@
-// A folder in memory that does what disks do: forgets what was not synced when the power goes,
-// tears writes, forgets names whose folder was not synced, runs full, fails, and rots.
+// A simulated directory for tests. It loses unsynced data and names at a power loss, tears writes,
+// runs full, fails operations and lets a test damage files.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,30 @@
  public:
   Error lock() override { return step(Op::Lock); }
   Error list(std::vector<std::string>& names) override;
-  Error read(const std::string& name, std::size_t most, std::string& bytes) override;
+  Error read(const std::string& name, std::size_t max_bytes, std::string& bytes) override;
   Error create(const std::string& name, std::unique_ptr<File>& file) override;
   Error rename(const std::string& from, const std::string& to) override;
   Error remove(const std::string& name) override;
   Error sync_directory() override;
 
   enum class Op { Lock, List, Read, Create, Append, Sync, Rename, Remove, SyncDirectory };
-  /// From the operation of that number on, counted from now, each of `kind` fails `times` times.
-  /// An append that fails leaves a part behind.
+  /// After `after` further operations the next `times` operations of `kind` fail with `with`. A
+  /// failed append writes part of its bytes.
   void fail_operations(Op kind, int after, int times, Error with);
-  /// The power goes at the operation of that number, counted from now: nothing more is done.
-  void lose_power_after(int operations) { power_lost_at_ = done_ + operations; }
+  /// The power fails after that many further operations: later ones have no effect.
+  void lose_power_after(int operations) { power_loss_at_ = operations_done_ + operations; }
   bool power_lost() const { return power_lost_; }
-  int operations() const { return done_; }
-  /// Bytes of all files; what would go beyond is Full.
+  int operations() const { return operations_done_; }
+  /// Capacity for all files; a write beyond it returns DiskFull.
   void set_capacity(std::size_t bytes) { capacity_ = bytes; }
 
-  /// The same disk after the power went: what was synced, and of the rest what `seed` leaves. A
-  /// file's end that was not synced may be there, cut at any byte, or with holes; each name that
-  /// was not synced may be as it was before.
+  /// The disk after a power loss: the synced data, and of the rest what `seed` decides. The
+  /// unsynced end of a file may be present, cut at any byte or have zeroed ranges; each unsynced
+  /// name may be in its former state.
   std::shared_ptr<VirtualDisk> after_power_loss(std::uint64_t seed) const;
-  /// As a process finds it after one that was killed: everything written is there.
+  /// The disk after the process was killed: everything written is present.
   std::shared_ptr<VirtualDisk> after_process_kill() const;
-  /// Files as they are now, to be damaged by hand.
+  /// Current file contents, for tests that damage them.
   std::map<std::string, std::string> bytes() const;
   void set_bytes(const std::string& name, std::string bytes);
 
@@ -46,7 +46,7 @@
   struct Content {
     std::string bytes;
     std::size_t synced = 0;
-    bool poisoned = false;  // a sync has failed: further ones claim to work and prove nothing
+    bool poisoned = false;  // a sync has failed: later ones report success without effect
   };
   using Names = std::map<std::string, std::shared_ptr<Content>>;
   class Handle;
@@ -54,12 +54,12 @@
   std::size_t used() const;
 
   Names names_, synced_names_;
-  struct Failing {
+  struct InjectedFailure {
     int from = 0, times = 0;
     Error with = Error::None;
   };
-  std::map<Op, Failing> failing_;
-  int done_ = 0, power_lost_at_ = -1;
+  std::map<Op, InjectedFailure> failures_;
+  int operations_done_ = 0, power_loss_at_ = -1;
   bool power_lost_ = false;
   std::size_t capacity_ = ~std::size_t{0};
 };
--- a/tests/binary/codec_test.cpp
+++ b/tests/binary/codec_test.cpp
@@ -1,4 +1,4 @@
-// The binary codec: every packet whole and cut at every byte, its bounds, and random bytes.
+// Binary protocol codec: packets in one piece and split at every byte, limits, and random bytes.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -8,10 +8,10 @@
 namespace arrowfork::binary {
 namespace {
 
-/// What a reader makes of `text` in parts that end at `cuts`.
-std::vector<std::string> commands_of(const std::string& text, std::vector<std::size_t> cuts) {
+/// Parses `text` in parts that end at `cuts` and describes the results.
+std::vector<std::string> parse_commands(const std::string& text, std::vector<std::size_t> cuts) {
   CommandReader reader;
-  std::vector<std::string> seen;
+  std::vector<std::string> results;
   cuts.push_back(text.size());
   std::size_t from = 0;
   for (std::size_t cut : cuts) {
@@ -20,25 +20,25 @@
     std::string_view in = part;
     while (true) {
       Command c;
-      auto got = reader.parse(in, c);
-      if (got == CommandReader::ParseResult::Incomplete) break;
+      auto result = reader.parse(in, c);
+      if (result == CommandReader::ParseResult::Incomplete) break;
       std::string head =
           std::to_string(static_cast<int>(c.opcode)) + '/' + std::to_string(c.opaque);
-      if (got == CommandReader::ParseResult::Command) {
-        seen.push_back(head + ' ' + c.key + ' ' + c.value + ' ' + std::to_string(c.flags) + ' ' +
-                       std::to_string(c.expiry) + ' ' + std::to_string(c.cas));
+      if (result == CommandReader::ParseResult::Command) {
+        results.push_back(head + ' ' + c.key + ' ' + c.value + ' ' + std::to_string(c.flags) + ' ' +
+                          std::to_string(c.expiry) + ' ' + std::to_string(c.cas));
         continue;
       }
-      seen.push_back(head + " status " + std::to_string(reader.rejection_status()));
-      if (got == CommandReader::ParseResult::FramingLost) {
-        seen.push_back("broken");
-        return seen;
+      results.push_back(head + " status " + std::to_string(reader.rejection_status()));
+      if (result == CommandReader::ParseResult::FramingLost) {
+        results.push_back("broken");
+        return results;
       }
     }
     EXPECT_TRUE(in.empty());
   }
-  if (reader.in_command()) seen.push_back("partly");
-  return seen;
+  if (reader.in_command()) results.push_back("partly");
+  return results;
 }
 
 std::string packet(Opcode opcode, std::uint32_t opaque, const std::string& key = "",
@@ -65,7 +65,7 @@
   return h;
 }
 
-TEST(BinaryRequest, IsWrittenAsTheProtocolSays) {
+TEST(BinaryRequest, IsEncodedAsSpecified) {
   Command c;
   c.opcode = Opcode::Set;
   c.opaque = 0x01020304;
@@ -80,7 +80,7 @@
                                     42));
 }
 
-TEST(BinaryResponse, IsWrittenAsTheProtocolSays) {
+TEST(BinaryResponse, IsEncodedAsSpecified) {
   EXPECT_EQ(response(Opcode::GetK, status::kOk, 7, "World", "Hello", 0xdeadbeef, 1),
             std::string("\x81\x0c\x00\x05\x04\x00\x00\x00\x00\x00\x00\x0e"
                         "\x00\x00\x00\x07\x00\x00\x00\x00\x00\x00\x00\x01"
@@ -93,7 +93,7 @@
                         31));
 }
 
-TEST(BinaryCommandReader, SplitAtEveryByteGivesTheSame) {
+TEST(BinaryCommandReader, SplitAtAnyByteGivesTheSameResult) {
   std::string value("with\r\n\0and\x80", 11);
   std::string text = packet(Opcode::GetKQ, 1, "a") + packet(Opcode::SetQ, 2, "b", value) +
                      header(0x05, 1, 20, 21) + std::string(21, 'i') +  // INCREMENT
@@ -101,104 +101,110 @@
                      header(0x01, 1, 8, 9 + kMaxValue + 1) + std::string(9 + kMaxValue + 1, 'v') +
                      header(0x00, 251, 0, 251) + std::string(251, 'k') + packet(Opcode::Noop, 3) +
                      packet(Opcode::Stat, 4) + packet(Opcode::Quit, 5);
-  const std::vector<std::string> due = {"13/1 a  0 0 0",  "17/2 b " + value + " 0 0 0",
-                                        "5/9 status 131", "238/9 status 129",
-                                        "0/9 status 4",   "1/9 status 3",
-                                        "0/9 status 4",   "10/3   0 0 0",
-                                        "16/4   0 0 0",   "7/5   0 0 0"};
-  EXPECT_EQ(commands_of(text, {}), due);
-  std::size_t bulk = 400, skip_to = text.size() - 400;  // the long value is cut at some places only
+  const std::vector<std::string> expected = {"13/1 a  0 0 0",  "17/2 b " + value + " 0 0 0",
+                                             "5/9 status 131", "238/9 status 129",
+                                             "0/9 status 4",   "1/9 status 3",
+                                             "0/9 status 4",   "10/3   0 0 0",
+                                             "16/4   0 0 0",   "7/5   0 0 0"};
+  EXPECT_EQ(parse_commands(text, {}), expected);
+  std::size_t bulk = 400,
+              skip_to = text.size() - 400;  // the long value is split at some places only
   for (std::size_t cut = 1; cut<text.size(); cut += cut> bulk && cut < skip_to ? 997 : 1)
-    ASSERT_EQ(commands_of(text, {cut}), due) << "cut at " << cut;
+    ASSERT_EQ(parse_commands(text, {cut}), expected) << "cut at " << cut;
   std::vector<std::size_t> every;
   for (std::size_t cut = 1; cut < bulk; ++cut) every.push_back(cut);
-  EXPECT_EQ(commands_of(text, every), due);
+  EXPECT_EQ(parse_commands(text, every), expected);
 }
 
-TEST(BinaryCommandReader, ACutHeaderIsNoCommand) {
+TEST(BinaryCommandReader, IncompletePacketIsNotACommand) {
   std::string text = packet(Opcode::Get, 1, "key");
   for (std::size_t size = 1; size < text.size(); ++size)
-    EXPECT_EQ(commands_of(text.substr(0, size), {}), std::vector<std::string>{"partly"}) << size;
+    EXPECT_EQ(parse_commands(text.substr(0, size), {}), std::vector<std::string>{"partly"}) << size;
 }
 
-TEST(BinaryCommandReader, WhereTheNextPacketBeginsIsLost) {
-  using Seen = std::vector<std::string>;
-  // The body is shorter than key and extras.
-  EXPECT_EQ(commands_of(header(0x01, 5, 8, 12) + "xxxxxxxxxxxx", {}),
-            (Seen{"1/9 status 4", "broken"}));
-  // 4 GB.
-  EXPECT_EQ(commands_of(header(0x01, 5, 8, 0xffffffff), {}), (Seen{"1/9 status 3", "broken"}));
-  EXPECT_EQ(commands_of(header(0x00, 5, 0, 0xffffffff), {}), (Seen{"0/9 status 4", "broken"}));
-  // The magic of a response, and meta.
-  EXPECT_EQ(commands_of(header(0x00, 1, 0, 1, kResponseMagic) + "k", {}).back(), "broken");
-  EXPECT_EQ(commands_of(packet(Opcode::Noop, 1) + "mg key v O1 Pc=read,d=1\r\n", {}).back(),
+TEST(BinaryCommandReader, LostFramingIsReported) {
+  using Results = std::vector<std::string>;
+  // The body is shorter than key and extras together.
+  EXPECT_EQ(parse_commands(header(0x01, 5, 8, 12) + "xxxxxxxxxxxx", {}),
+            (Results{"1/9 status 4", "broken"}));
+  // A body of 4 GB.
+  EXPECT_EQ(parse_commands(header(0x01, 5, 8, 0xffffffff), {}),
+            (Results{"1/9 status 3", "broken"}));
+  EXPECT_EQ(parse_commands(header(0x00, 5, 0, 0xffffffff), {}),
+            (Results{"0/9 status 4", "broken"}));
+  // The magic of a response, and a meta command.
+  EXPECT_EQ(parse_commands(header(0x00, 1, 0, 1, kResponseMagic) + "k", {}).back(), "broken");
+  EXPECT_EQ(parse_commands(packet(Opcode::Noop, 1) + "mg key v O1 Pc=read,d=1\r\n", {}).back(),
             "broken");
 }
 
-TEST(BinaryCommandReader, LengthsMustBeThoseOfTheOpcode) {
+TEST(BinaryCommandReader, LengthsMustFitTheOpcode) {
   const std::vector<std::string> bad[] = {
-      commands_of(header(0x00, 1, 4, 5) + "xxxxk", {}),                 // GET with extras
-      commands_of(header(0x00, 1, 0, 4) + "kval", {}),                  // GET with a value
-      commands_of(header(0x01, 1, 4, 5) + "xxxxk", {}),                 // SET with half its extras
-      commands_of(header(0x01, 0, 8, 9) + "xxxxxxxxv", {}),             // SET with no key
-      commands_of(header(0x0a, 0, 0, 1) + "x", {}),                     // NOOP with a body
-      commands_of(header(0x00, 1, 0, 1, kRequestMagic, 1) + "k", {})};  // a data type
-  for (const auto& seen : bad) {
-    ASSERT_EQ(seen.size(), 1u);
-    EXPECT_EQ(seen[0].substr(seen[0].find(' ')), " status 4");
+      parse_commands(header(0x00, 1, 4, 5) + "xxxxk", {}),      // GET with extras
+      parse_commands(header(0x00, 1, 0, 4) + "kval", {}),       // GET with a value
+      parse_commands(header(0x01, 1, 4, 5) + "xxxxk", {}),      // SET with half its extras
+      parse_commands(header(0x01, 0, 8, 9) + "xxxxxxxxv", {}),  // SET with no key
+      parse_commands(header(0x0a, 0, 0, 1) + "x", {}),          // NOOP with a body
+      parse_commands(header(0x00, 1, 0, 1, kRequestMagic, 1) + "k", {})};  // data type other than 0
+  for (const auto& results : bad) {
+    ASSERT_EQ(results.size(), 1u);
+    EXPECT_EQ(results[0].substr(results[0].find(' ')), " status 4");
   }
 }
 
-std::vector<std::string> answers_of(const std::string& text, std::size_t cut) {
+std::vector<std::string> parse_answers(const std::string& text, std::size_t cut) {
   AnswerReader reader;
-  std::vector<std::string> seen;
+  std::vector<std::string> results;
   for (std::string part : {text.substr(0, cut), text.substr(cut)}) {
     std::string_view in = part;
     while (true) {
       Answer a;
-      auto got = reader.parse(in, a);
-      if (got == AnswerReader::ParseResult::Incomplete) break;
-      if (got == AnswerReader::ParseResult::Malformed) {
-        seen.push_back("broken");
-        return seen;
+      auto result = reader.parse(in, a);
+      if (result == AnswerReader::ParseResult::Incomplete) break;
+      if (result == AnswerReader::ParseResult::Malformed) {
+        results.push_back("broken");
+        return results;
       }
-      seen.push_back(std::to_string(a.opcode) + '/' + std::to_string(a.opaque) + ' ' +
-                     std::to_string(a.status) + ' ' + a.key + ' ' + a.value + ' ' +
-                     std::to_string(a.flags) + ' ' + std::to_string(a.cas));
+      results.push_back(std::to_string(a.opcode) + '/' + std::to_string(a.opaque) + ' ' +
+                        std::to_string(a.status) + ' ' + a.key + ' ' + a.value + ' ' +
+                        std::to_string(a.flags) + ' ' + std::to_string(a.cas));
     }
   }
-  if (reader.in_answer()) seen.push_back("partly");
-  return seen;
+  if (reader.in_answer()) results.push_back("partly");
+  return results;
 }
 
-TEST(BinaryAnswerReader, SplitAtEveryByteGivesTheSame) {
+TEST(BinaryAnswerReader, SplitAtAnyByteGivesTheSameResult) {
   std::string text = response(Opcode::GetK, status::kOk, 1, "value", "key", 77, 5) +
                      response(Opcode::Set, status::kOk, 2, {}, {}, 0, 99) +
                      response(Opcode::GetK, status::kBusy, 3, "busy 20") +
                      response(Opcode::GetK, status::kNotFound, 4, "Not found");
-  const std::vector<std::string> due = {"12/1 0 key value 77 5", "1/2 0   0 99",
-                                        "12/3 133  busy 20 0 0", "12/4 1  Not found 0 0"};
-  for (std::size_t cut = 0; cut <= text.size(); ++cut) EXPECT_EQ(answers_of(text, cut), due) << cut;
+  const std::vector<std::string> expected = {"12/1 0 key value 77 5", "1/2 0   0 99",
+                                             "12/3 133  busy 20 0 0", "12/4 1  Not found 0 0"};
+  for (std::size_t cut = 0; cut <= text.size(); ++cut)
+    EXPECT_EQ(parse_answers(text, cut), expected) << cut;
 }
 
-TEST(BinaryAnswerReader, GarbageBreaks) {
-  using Seen = std::vector<std::string>;
-  EXPECT_EQ(answers_of("VA 5 O1\r\n", 0), Seen{"broken"});
-  EXPECT_EQ(answers_of(header(0x0c, 1, 4, 5), 0), Seen{"broken"});  // a request's magic
-  EXPECT_EQ(answers_of(header(0x0c, 1, 4, 4, kResponseMagic), 0), Seen{"broken"});  // too short
-  EXPECT_EQ(answers_of(header(0x0c, 1, 4, 0xfffffff0, kResponseMagic), 0), Seen{"broken"});
-  EXPECT_EQ(answers_of(header(0x0c, 300, 4, 304, kResponseMagic), 0), Seen{"broken"});
-  EXPECT_EQ(answers_of(header(0x0c, 1, 0, 2, kResponseMagic), 0), Seen{"broken"});  // no flags
-  EXPECT_EQ(answers_of(header(0x0c, 1, 4, 6, kResponseMagic, 2), 0), Seen{"broken"});
+TEST(BinaryAnswerReader, GarbageIsMalformed) {
+  using Results = std::vector<std::string>;
+  EXPECT_EQ(parse_answers("VA 5 O1\r\n", 0), Results{"broken"});
+  EXPECT_EQ(parse_answers(header(0x0c, 1, 4, 5), 0), Results{"broken"});  // a request's magic
+  EXPECT_EQ(parse_answers(header(0x0c, 1, 4, 4, kResponseMagic), 0),
+            Results{"broken"});  // too short
+  EXPECT_EQ(parse_answers(header(0x0c, 1, 4, 0xfffffff0, kResponseMagic), 0), Results{"broken"});
+  EXPECT_EQ(parse_answers(header(0x0c, 300, 4, 304, kResponseMagic), 0), Results{"broken"});
+  EXPECT_EQ(parse_answers(header(0x0c, 1, 0, 2, kResponseMagic), 0),
+            Results{"broken"});  // no flags
+  EXPECT_EQ(parse_answers(header(0x0c, 1, 4, 6, kResponseMagic, 2), 0), Results{"broken"});
 }
 
-// Random packets, mostly nearly right ones, cut at random points: whatever comes, readers end, keep
-// within their bounds, and make the same of it as uncut.
-TEST(BinaryFuzz, BothReadersTakeAnyBytesInAnyParts) {
+// Random packets, most of them almost valid, split at random points: the readers must terminate,
+// stay within their limits, and give the same results as for unsplit input.
+TEST(BinaryFuzz, BothReadersHandleAnyBytesSplitAnywhere) {
   std::mt19937_64 random(20261201);
   auto below = [&](std::uint64_t n) { return random() % n; };
   const unsigned opcodes[] = {0x00, 0x01, 0x07, 0x09, 0x0a, 0x0b, 0x0c, 0x0d, 0x10, 0x11, 0x17};
-  int taken = 0, refused = 0, broken = 0;
+  int accepted = 0, rejected = 0, broken = 0;
   for (int round = 0; round < 50'000; ++round) {
     std::string text;
     for (std::uint64_t packets = 1 + below(4); packets > 0; --packets) {
@@ -215,16 +221,16 @@
       text += p;
     }
     std::size_t a = below(text.size() + 1), b = a + below(text.size() - a + 1);
-    auto whole = commands_of(text, {});
-    ASSERT_EQ(commands_of(text, {a, b}), whole) << "round " << round;
+    auto whole = parse_commands(text, {});
+    ASSERT_EQ(parse_commands(text, {a, b}), whole) << "round " << round;
     for (const std::string& one : whole)
-      ++(one == "broken" ? broken : one.find(" status ") != one.npos ? refused : taken);
+      ++(one == "broken" ? broken : one.find(" status ") != one.npos ? rejected : accepted);
     text[0] = static_cast<char>(below(10) ? kResponseMagic : random());
-    ASSERT_EQ(answers_of(text, a), answers_of(text, 0)) << "round " << round;
+    ASSERT_EQ(parse_answers(text, a), parse_answers(text, 0)) << "round " << round;
   }
-  // The inputs do reach all of it.
-  EXPECT_GT(taken, 5'000);
-  EXPECT_GT(refused, 5'000);
+  // The inputs reach every kind of result.
+  EXPECT_GT(accepted, 5'000);
+  EXPECT_GT(rejected, 5'000);
   EXPECT_GT(broken, 5'000);
 }
 
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -1,4 +1,4 @@
-// The core without a protocol and without sockets: attempts are carried out by the test.
+// Core without a protocol and without sockets: the test answers the attempts.
 #include "core/core.hpp"
 
 #include <gtest/gtest.h>
@@ -30,8 +30,8 @@
     int attempt;
   };
 
-  CoreTest() { use(basic_settings()); }
-  void use(const robinseam::Settings& settings, std::size_t max_open = 100) {
+  CoreTest() { make_core(basic_settings()); }
+  void make_core(const robinseam::Settings& settings, std::size_t max_open = 100) {
     core_ = std::make_unique<Core>(settings, 7, *this, *this, max_open, 8192);
     core_->start(fleet(4));
     core_->process_events();
@@ -52,21 +52,21 @@
     r.time_left = 500 * kMillisecond;
     return r;
   }
-  Request put(const std::string& idempotency) {
+  Request put(const std::string& idempotency_key) {
     Request r = read();
     r.class_name = "put";
     r.write = true;
-    r.idempotency_key = idempotency;
+    r.idempotency_key = idempotency_key;
     r.value = std::make_shared<const std::string>("v");
     return r;
   }
-  RequestId take(Request&& request, Sink& sink) {
+  RequestId submit(Request&& request, Sink& sink) {
     RequestId id = 0;
     EXPECT_EQ(core_->submit(std::move(request), sink, *this, id), Core::SubmitResult::Accepted);
     core_->process_events();
     return id;
   }
-  void end(std::size_t sent, Status status, AttemptResult result = {}) {
+  void end_attempt(std::size_t sent, Status status, AttemptResult result = {}) {
     core_->on_attempt_ended(sent_[sent].id, sent_[sent].attempt, status, std::move(result));
     core_->process_events();
   }
@@ -74,9 +74,9 @@
   // TimeSource, AttemptSender, ListSource
   Micros now() const override { return now_; }
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
-            Micros wait) override {
-    EXPECT_GT(wait, 0);
-    names_.insert(request.id);
+            Micros timeout) override {
+    EXPECT_GT(timeout, 0);
+    sent_ids_.insert(request.id);
     sent_.push_back({server, id, attempt});
   }
   Status cancel(const std::string&, RequestId, int) override {
@@ -84,46 +84,46 @@
     return Status::Cancelled;
   }
   std::optional<Status> stop_for_retry(const std::string&, RequestId, int) override {
-    return ends_;
+    return stop_result_;
   }
-  bool withdraw(const std::string&, RequestId, int) override { return unwritten_; }
-  bool supports_idempotency_key(const Request&) const override { return keeps_key_; }
+  bool withdraw(const std::string&, RequestId, int) override { return attempts_unsent_; }
+  bool supports_idempotency_key(const Request&) const override { return servers_get_key_; }
   void watch_list() override {}
   void fetch_list() override {}
 
   Micros now_ = 1'000 * kSecond;
-  bool keeps_key_ = true;
+  bool servers_get_key_ = true;
   int cancelled_ = 0;
-  std::optional<Status> ends_ = Status::Cancelled;  // what end() comes to
-  bool unwritten_ = false;                          // attempts wait to be sent
+  std::optional<Status> stop_result_ = Status::Cancelled;  // result of stop_for_retry()
+  bool attempts_unsent_ = false;  // attempts are not sent yet, so they can be withdrawn
   std::vector<Sent> sent_;
-  std::set<std::string> names_;
+  std::set<std::string> sent_ids_;
   std::unique_ptr<Core> core_;
 };
 
-TEST_F(CoreTest, AReadIsCarriedOutAndItsValueGivenOnce) {
+TEST_F(CoreTest, ReadIsSentAndItsValueIsRepliedOnce) {
   Sink sink;
-  take(read(), sink);
+  submit(read(), sink);
   ASSERT_EQ(sent_.size(), 1u);
   AttemptResult result;
   result.value = "fine";
   result.flags = 5;
-  end(0, Status::Ok, result);
+  end_attempt(0, Status::Ok, result);
   EXPECT_EQ(sink.replies, 1);
   EXPECT_EQ(sink.last.kind, Reply::Kind::Served);
   EXPECT_EQ(sink.last.value, "fine");
   EXPECT_EQ(sink.last.flags, 5u);
   EXPECT_EQ(core_->open_requests(), 0u);
-  end(0, Status::Ok, result);  // again, and for an attempt that never was
+  end_attempt(0, Status::Ok, result);  // a second time, and for an attempt that does not exist
   core_->on_attempt_ended(sent_[0].id, 9, Status::Ok, {});
   EXPECT_EQ(sink.replies, 1);
 }
 
 TEST_F(CoreTest, OutcomesAreCountedByServerUntilTheyAreTaken) {
   Sink sink;
-  take(read(), sink);
-  end(0, Status::Reset);
-  end(1, Status::Ok);
+  submit(read(), sink);
+  end_attempt(0, Status::Reset);
+  end_attempt(1, Status::Ok);
   auto counts = core_->take_server_counts();
   ASSERT_EQ(counts.size(), 2u);
   EXPECT_EQ(counts[sent_[0].server][static_cast<std::size_t>(Status::Reset)], 1u);
@@ -131,30 +131,30 @@
   EXPECT_TRUE(core_->take_server_counts().empty());
 }
 
-TEST_F(CoreTest, AnAttemptNumberThatNeverWasIsIgnored) {
+TEST_F(CoreTest, UnknownAttemptNumberIsIgnored) {
   Sink sink;
-  RequestId id = take(read(), sink);
+  RequestId id = submit(read(), sink);
   core_->on_attempt_ended(id, 3, Status::Ok, {});
   core_->on_attempt_ended(id, -1, Status::Ok, {});
   EXPECT_EQ(sink.replies, 0);
 }
 
-TEST_F(CoreTest, ResetsGoElsewhereUntilTheRequestIsAnswered) {
+TEST_F(CoreTest, ResetAttemptIsRetriedAtAnotherServer) {
   Sink sink;
-  take(read(), sink);
-  end(0, Status::Reset);
+  submit(read(), sink);
+  end_attempt(0, Status::Reset);
   ASSERT_EQ(sent_.size(), 2u);
   EXPECT_NE(sent_[0].server, sent_[1].server);
-  end(1, Status::Ok);
+  end_attempt(1, Status::Ok);
   EXPECT_EQ(sink.last.kind, Reply::Kind::Served);
 }
 
-TEST_F(CoreTest, TheDeadlineIsTheClassesAtMostAndGivesAnAnswer) {
+TEST_F(CoreTest, DeadlineIsLimitedByTheClassAndEndsInAReply) {
   Sink sink;
   Request r = read();
   r.time_left = 3600 * kSecond;
-  take(std::move(r), sink);
-  // Each timer in its turn, until the deadline of 600 ms and the guard behind it.
+  submit(std::move(r), sink);
+  // Runs each timer up to the deadline of 600 ms and the reply guard 15 ms later.
   while (core_->next_timer() && core_->next_timer() <= 1'000 * kSecond + 615 * kMillisecond) {
     now_ = core_->next_timer();
     core_->process_events();
@@ -165,33 +165,33 @@
   EXPECT_EQ(core_->open_requests(), 0u);
 }
 
-TEST_F(CoreTest, WhatIsNotTakenIsLeftAsItWas) {
-  use(basic_settings(), 1);
+TEST_F(CoreTest, RejectedRequestIsLeftUnchanged) {
+  make_core(basic_settings(), 1);
   Sink sink;
   RequestId id = 0;
   Request unknown = read();
   unknown.class_name = "other";
   EXPECT_EQ(core_->submit(std::move(unknown), sink, *this, id), Core::SubmitResult::InvalidClass);
   EXPECT_EQ(unknown.key, "key");
-  take(read("a"), sink);
+  submit(read("a"), sink);
   EXPECT_EQ(core_->submit(read("a"), sink, *this, id), Core::SubmitResult::IdInUse);
   EXPECT_EQ(core_->submit(read("b"), sink, *this, id), Core::SubmitResult::TableFull);
   EXPECT_EQ(sink.replies, 0);
 }
 
-TEST_F(CoreTest, IdsOfItsOwnAreNeverTwiceTheSame) {
+TEST_F(CoreTest, GeneratedIdsAreUnique) {
   Sink sink;
   for (int k = 0; k < 1000; ++k) {
-    take(read(), sink);
-    end(sent_.size() - 1, Status::Ok);
+    submit(read(), sink);
+    end_attempt(sent_.size() - 1, Status::Ok);
   }
-  EXPECT_EQ(names_.size(), 1000u);
-  for (const std::string& name : names_) EXPECT_EQ(name.size(), 16u);
+  EXPECT_EQ(sent_ids_.size(), 1000u);
+  for (const std::string& name : sent_ids_) EXPECT_EQ(name.size(), 16u);
 }
 
-TEST_F(CoreTest, NobodyIsToldOnceTheClientIsGone) {
+TEST_F(CoreTest, NoReplyIsGivenOnceTheClientIsGone) {
   Sink sink;
-  RequestId id = take(read(), sink);
+  RequestId id = submit(read(), sink);
   core_->on_client_gone(id);
   core_->process_events();
   EXPECT_EQ(cancelled_, 1);
@@ -199,37 +199,39 @@
   EXPECT_EQ(core_->open_requests(), 0u);
 }
 
-// Nothing of it has been sent: it is taken back at once, and not by leave of the settings.
-TEST_F(CoreTest, WhatWaitsUnsentForAClientThatIsGoneIsTakenBack) {
+// An attempt that is not sent yet is withdrawn at once, also if the settings forbid to cancel.
+TEST_F(CoreTest, UnsentAttemptOfAGoneClientIsWithdrawn) {
   robinseam::Settings settings = basic_settings();
   settings.may_cancel = false;
-  for (bool unwritten : {true, false}) {
-    use(settings);
-    unwritten_ = unwritten;
+  for (bool unsent : {true, false}) {
+    make_core(settings);
+    attempts_unsent_ = unsent;
     Sink sink;
-    RequestId id = take(read(), sink);
+    RequestId id = submit(read(), sink);
     core_->on_client_gone(id);
     core_->process_events();
-    EXPECT_EQ(core_->open_requests(), unwritten ? 0u : 1u);
+    EXPECT_EQ(core_->open_requests(), unsent ? 0u : 1u);
     EXPECT_EQ(cancelled_, 0);
   }
 }
 
-// A moment later, and the client may still read: what has not been sent by then never ran.
-TEST_F(CoreTest, WhatWaitsUnsentForAClientThatHasLeftIsTakenBackAMomentLater) {
+// A half-closed client may still read. Attempts not sent 50 ms later are withdrawn, and the reply
+// tells whether a retry is safe.
+TEST_F(CoreTest, UnsentAttemptOfAHalfClosedClientIsWithdrawnAfterAGracePeriod) {
   struct Case {
-    const char* idempotency;
-    bool unwritten;
+    const char* idempotency_key;
+    bool unsent;
     int replies;
     Reply::Kind kind;
   };
-  for (const Case& c : {Case{nullptr, true, 1, Reply::Kind::Refused},
-                        Case{"k1", true, 1, Reply::Kind::Failed},  // an earlier try may have run
-                        Case{nullptr, false, 0, Reply::Kind::Failed}}) {
-    use(with_put(robinseam::Effect::Keyed));
-    unwritten_ = c.unwritten;
+  for (const Case& c :
+       {Case{nullptr, true, 1, Reply::Kind::Refused},
+        Case{"k1", true, 1, Reply::Kind::Failed},  // an earlier try of the client may have run
+        Case{nullptr, false, 0, Reply::Kind::Failed}}) {
+    make_core(with_put(robinseam::Effect::Keyed));
+    attempts_unsent_ = c.unsent;
     Sink sink;
-    RequestId id = take(c.idempotency ? put(c.idempotency) : read(), sink);
+    RequestId id = submit(c.idempotency_key ? put(c.idempotency_key) : read(), sink);
     core_->on_client_half_closed(id);
     core_->process_events();
     EXPECT_EQ(sink.replies, 0);
@@ -243,79 +245,79 @@
   }
 }
 
-// Two may not be out at once, and the first can't be ended yet: nothing follows until it can.
-TEST_F(CoreTest, WithoutSecondCopiesNoAttemptFollowsOneThatIsStillOut) {
+// Two attempts may not be in flight at once. While the first cannot be stopped, none may follow.
+TEST_F(CoreTest, WithoutHedgesNoAttemptFollowsOneInFlight) {
   robinseam::Settings settings = basic_settings();
   settings.second_copies = false;
-  use(settings);
+  make_core(settings);
   Sink sink;
-  ends_ = std::nullopt;
+  stop_result_ = std::nullopt;
   Request r = read();
   r.time_left = 600 * kMillisecond;
-  take(std::move(r), sink);
-  Micros begun = now_;
-  for (; now_ < begun + 400 * kMillisecond; now_ += kMillisecond) core_->process_events();
+  submit(std::move(r), sink);
+  Micros start = now_;
+  for (; now_ < start + 400 * kMillisecond; now_ += kMillisecond) core_->process_events();
   EXPECT_EQ(sent_.size(), 1u);
-  ends_ = Status::Cancelled;
+  stop_result_ = Status::Cancelled;
   now_ += 20 * kMillisecond;
   core_->process_events();
   EXPECT_EQ(sent_.size(), 2u);
   EXPECT_EQ(sent_.back().attempt, 1);
 }
 
-TEST_F(CoreTest, AClientThatHasLeftGetsWhatWasOutAndNothingNewIsSent) {
+TEST_F(CoreTest, HalfClosedClientGetsTheAttemptInFlightButNoFurtherOne) {
   Sink sink;
-  RequestId id = take(read(), sink);
+  RequestId id = submit(read(), sink);
   core_->on_client_half_closed(id);
   core_->process_events();
   EXPECT_EQ(cancelled_, 0);
-  end(0, Status::Reset);
+  end_attempt(0, Status::Reset);
   EXPECT_EQ(sent_.size(), 1u);
   EXPECT_EQ(sink.replies, 1);
   EXPECT_EQ(sink.last.kind, Reply::Kind::Failed);
 }
 
-TEST_F(CoreTest, AKeyedWriteIsRepeatedOnlyWhereItsKeyIsKept) {
-  for (auto [idempotency, kept, repeated] :
+TEST_F(CoreTest, KeyedWriteIsRetriedOnlyIfServersGetItsKey) {
+  for (auto [idempotency_key, key_sent, retried] :
        {std::tuple{"k1", true, true}, {"", true, false}, {"k1", false, false}}) {
-    use(with_put(robinseam::Effect::Keyed));
+    make_core(with_put(robinseam::Effect::Keyed));
     sent_.clear();
-    keeps_key_ = kept;
+    servers_get_key_ = key_sent;
     Sink sink;
-    take(put(idempotency), sink);
-    end(0, Status::Reset);
-    EXPECT_EQ(sent_.size(), repeated ? 2u : 1u) << idempotency << kept;
-    EXPECT_EQ(sink.replies, repeated ? 0 : 1);
-    if (!repeated) {
-      EXPECT_EQ(sink.last.kind, Reply::Kind::Failed);  // refused would promise that it never ran
+    submit(put(idempotency_key), sink);
+    end_attempt(0, Status::Reset);
+    EXPECT_EQ(sent_.size(), retried ? 2u : 1u) << idempotency_key << key_sent;
+    EXPECT_EQ(sink.replies, retried ? 0 : 1);
+    if (!retried) {
+      EXPECT_EQ(sink.last.kind, Reply::Kind::Failed);  // Refused would mean that it never ran
     }
   }
 }
 
-TEST_F(CoreTest, AWriteWithoutAKeyGoesOnAfterAProvenNonRun) {
-  use(with_put(robinseam::Effect::Keyed));
+TEST_F(CoreTest, WriteWithoutKeyIsRetriedAfterAnAttemptThatDidNotRun) {
+  make_core(with_put(robinseam::Effect::Keyed));
   Sink sink;
-  take(put(""), sink);
-  end(0, Status::ConnectFailed);
+  submit(put(""), sink);
+  end_attempt(0, Status::ConnectFailed);
   EXPECT_EQ(sent_.size(), 2u);
 }
 
-TEST_F(CoreTest, AMissIsToldOfOnlyInAsideMode) {
+TEST_F(CoreTest, MissIsReportedOnlyInCacheAsideMode) {
   Sink sink;
-  take(read(), sink);
-  for (std::size_t k = 0; k < sent_.size(); ++k) end(k, Status::Miss);
+  submit(read(), sink);
+  for (std::size_t k = 0; k < sent_.size(); ++k) end_attempt(k, Status::Miss);
   EXPECT_EQ(sink.replies, 1);
   EXPECT_FALSE(sink.last.cache_miss);
-  robinseam::Settings aside = robinseam::test::aside_settings();
-  core_ = std::make_unique<Core>(aside, 7, *this, *this, 10, 8192);
+  robinseam::Settings cache_aside = robinseam::test::aside_settings();
+  core_ = std::make_unique<Core>(cache_aside, 7, *this, *this, 10, 8192);
   auto servers = fleet(3);
   servers[2].kind = "ledger";
   core_->start(servers);
   core_->process_events();
   sent_.clear();
   Sink other;
-  take(read(), other);
-  for (std::size_t k = 0; k < sent_.size(); ++k) end(k, Status::Miss);
+  submit(read(), other);
+  for (std::size_t k = 0; k < sent_.size(); ++k) end_attempt(k, Status::Miss);
   EXPECT_EQ(sent_.size(), 2u);
   EXPECT_EQ(sent_.back().server, servers[2].id);
   EXPECT_EQ(other.replies, 1);
--- a/tests/store/list_trust_test.cpp
+++ b/tests/store/list_trust_test.cpp
@@ -1,4 +1,4 @@
-// What a kept list is worth: a table, and the whole way over a folder.
+// Trust in a persisted list: a table of cases, and the way through a directory on disk.
 #include "store/list_trust.hpp"
 
 #include <gtest/gtest.h>
@@ -17,38 +17,42 @@
 namespace wheeldeal::store {
 namespace {
 
-constexpr Micros kS = 1'000'000, kNow = 1'000'000 * kS, kTaken = 10 * kS, kAsked = 600 * kS;
+constexpr Micros kSecond = 1'000'000, kNow = 1'000'000 * kSecond, kMaxTrustedAge = 10 * kSecond,
+                 kMaxAge = 600 * kSecond;
 
 struct Case {
   const char* name;
-  PersistedList kept;
+  PersistedList list;
   ListTrust trust;
 };
 void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
-class Beliefs : public testing::TestWithParam<Case> {};
+class ListTrustTest : public testing::TestWithParam<Case> {};
 
-TEST_P(Beliefs, AreByAgeOwnerAndDamage) {
-  EXPECT_EQ(assess_trust(GetParam().kept, "me", kNow, kTaken, kAsked).trust, GetParam().trust);
+TEST_P(ListTrustTest, DependsOnAgeOwnerAndDamage) {
+  EXPECT_EQ(assess_trust(GetParam().list, "me", kNow, kMaxTrustedAge, kMaxAge).trust,
+            GetParam().trust);
 }
 
-PersistedList kept(Micros age, bool unverified = false, const char* owner = "me", bool any = true) {
-  return {owner, kNow - age, unverified, any};
+PersistedList persisted_list(Micros age, bool unverified = false, const char* owner = "me",
+                             bool has_usable_server = true) {
+  return {owner, kNow - age, unverified, has_usable_server};
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, Beliefs,
-    testing::Values(Case{"of_now", kept(0), ListTrust::Trusted},
-                    Case{"a_little_old", kept(kTaken), ListTrust::Trusted},
-                    Case{"older", kept(kTaken + 1), ListTrust::Unverified},
-                    Case{"as_old_as_may_be", kept(kAsked), ListTrust::Unverified},
-                    Case{"too_old", kept(kAsked + 1), ListTrust::Discarded},
-                    Case{"damaged", kept(0, true), ListTrust::Unverified},
-                    Case{"damaged_and_too_old", kept(kAsked + 1, true), ListTrust::Discarded},
-                    Case{"another_routers", kept(0, false, "you"), ListTrust::Discarded},
-                    Case{"names_nobody", kept(0, false, "me", false), ListTrust::Discarded},
-                    Case{"clocks_differ_a_little", kept(-2 * kS), ListTrust::Trusted},
-                    Case{"clock_set_back_an_hour", kept(-3600 * kS), ListTrust::Unverified},
-                    Case{"clock_set_ahead_an_hour", kept(3600 * kS), ListTrust::Discarded}),
+    All, ListTrustTest,
+    testing::Values(
+        Case{"recent", persisted_list(0), ListTrust::Trusted},
+        Case{"at_max_trusted_age", persisted_list(kMaxTrustedAge), ListTrust::Trusted},
+        Case{"older_than_trusted", persisted_list(kMaxTrustedAge + 1), ListTrust::Unverified},
+        Case{"at_max_age", persisted_list(kMaxAge), ListTrust::Unverified},
+        Case{"too_old", persisted_list(kMaxAge + 1), ListTrust::Discarded},
+        Case{"damaged", persisted_list(0, true), ListTrust::Unverified},
+        Case{"damaged_and_too_old", persisted_list(kMaxAge + 1, true), ListTrust::Discarded},
+        Case{"written_by_another_router", persisted_list(0, false, "you"), ListTrust::Discarded},
+        Case{"no_usable_server", persisted_list(0, false, "me", false), ListTrust::Discarded},
+        Case{"clocks_differ_slightly", persisted_list(-2 * kSecond), ListTrust::Trusted},
+        Case{"clock_set_back_an_hour", persisted_list(-3600 * kSecond), ListTrust::Unverified},
+        Case{"clock_set_ahead_an_hour", persisted_list(3600 * kSecond), ListTrust::Discarded}),
     [](const auto& one) { return std::string(one.param.name); });
 
 arrowfork::HostList list() {
@@ -56,84 +60,84 @@
       R"({"seq":7,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active"}]})");
 }
 
-struct Folder {
+struct StoreDirectory {
   arrowfork::rig::TemporaryDirectory top;
   arrowfork::StoreSettings settings{(top.path() / "kept").string()};
   Micros now = kNow;
-  std::unique_ptr<DiskListPersistence> keep(const char* owner = "me") {
+  std::unique_ptr<DiskListPersistence> open(const char* owner = "me") {
     return std::make_unique<DiskListPersistence>(settings, owner, [this] { return now; });
   }
-  arrowfork::Config given(const char* owner = "me") {
+  arrowfork::Config restored_config(const char* owner = "me") {
     arrowfork::Config c;
-    keep(owner)->restore_list(c);
+    open(owner)->restore_list(c);
     return c;
   }
 };
 
-TEST(DiskListPersistence, GivesTheListBackByItsAge) {
-  Folder f;
-  EXPECT_TRUE(f.given().initial_list.hosts.empty());
-  f.keep()->on_list_confirmed(list());
-  arrowfork::Config c = f.given();
+TEST(DiskListPersistence, RestoresTheListDependingOnItsAge) {
+  StoreDirectory f;
+  EXPECT_TRUE(f.restored_config().initial_list.hosts.empty());
+  f.open()->on_list_confirmed(list());
+  arrowfork::Config c = f.restored_config();
   ASSERT_EQ(c.initial_list.hosts.size(), 1u);
   EXPECT_EQ(c.initial_list.version, "7");
   EXPECT_FALSE(c.initial_list_unverified);
-  f.now += 60 * kS;
-  EXPECT_TRUE(f.given().initial_list_unverified);
-  EXPECT_TRUE(f.given("you").initial_list.hosts.empty());
-  f.now += 600 * kS;
-  EXPECT_TRUE(f.given().initial_list.hosts.empty());
+  f.now += 60 * kSecond;
+  EXPECT_TRUE(f.restored_config().initial_list_unverified);
+  EXPECT_TRUE(f.restored_config("you").initial_list.hosts.empty());
+  f.now += 600 * kSecond;
+  EXPECT_TRUE(f.restored_config().initial_list.hosts.empty());
 }
 
-TEST(DiskListPersistence, AFolderThatCannotBeUsedIsToldAndNothingElse) {
-  Folder f;
-  auto first = f.keep();
+TEST(DiskListPersistence, UnusableDirectoryIsReportedAndNothingIsStored) {
+  StoreDirectory f;
+  auto first = f.open();
   first->on_list_confirmed(list());
   auto state = [](const DiskListPersistence& k) { return k.stats().back().second; };
-  auto second = f.keep();  // two processes on one folder
+  auto second = f.open();  // two processes on one directory
   EXPECT_EQ(state(*second), "not_used");
   second->on_list_confirmed(list());
   second.reset();
   first.reset();
-  EXPECT_EQ(f.given().initial_list.hosts.size(), 1u);
+  EXPECT_EQ(f.restored_config().initial_list.hosts.size(), 1u);
   std::ofstream(f.settings.directory + "/0000000000000000.log")
       << encode_header(Header{kVersion + 1, FileKind::Log, 0});
-  EXPECT_EQ(state(*f.keep()), "not_used");
+  EXPECT_EQ(state(*f.open()), "not_used");
   f.settings.directory = f.settings.directory + "/0000000000000000.log/under";
-  EXPECT_EQ(state(*f.keep()), "not_used");
+  EXPECT_EQ(state(*f.open()), "not_used");
 }
 
-TEST(DiskListPersistence, TenStartsInAMinuteLeaveTwoFilesAndToolsReadThem) {
-  Folder f;
-  for (int k = 0; k < 10; ++k, f.now += 6 * kS) {
-    auto keeping = f.keep();
-    for (int j = 0; j < 3; ++j, f.now += 6 * kS) keeping->on_list_confirmed(list());
+TEST(DiskListPersistence, TenRestartsInAMinuteLeaveTwoFilesThatTheToolsRead) {
+  StoreDirectory f;
+  for (int k = 0; k < 10; ++k, f.now += 6 * kSecond) {
+    auto persistence = f.open();
+    for (int j = 0; j < 3; ++j, f.now += 6 * kSecond) persistence->on_list_confirmed(list());
   }
-  EXPECT_EQ(f.given().initial_list.version, "7");
-  // The last word of the last life, 12 s ago, is the one that counts, also where it came late.
-  f.now -= 6 * kS;
-  EXPECT_FALSE(f.given().initial_list_unverified);
+  EXPECT_EQ(f.restored_config().initial_list.version, "7");
+  // The last confirmation of the last process, 12 s ago, counts, although it came during a commit.
+  f.now -= 6 * kSecond;
+  EXPECT_FALSE(f.restored_config().initial_list_unverified);
   std::size_t files = 0;
   for (const auto& file : std::filesystem::directory_iterator(f.settings.directory))
     files += file.path().filename() != "LOCK";
-  EXPECT_LE(files, 2u);  // a snapshot, and the segment behind it
+  EXPECT_LE(files, 2u);  // a snapshot and the segment after it
   EXPECT_EQ(check(f.settings.directory), 0);
   EXPECT_EQ(dump(f.settings.directory), 0);
   EXPECT_EQ(compact(f.settings.directory), 0);
-  auto in_service = f.keep();
+  auto in_service = f.open();
   EXPECT_EQ(compact(f.settings.directory), 2);
   EXPECT_EQ(check(f.settings.directory), 0);
   EXPECT_EQ(check(f.settings.directory + "/none"), 2);
 }
 
-/// A disk that hangs in its next sync until it is let go.
-struct Stalled final : FileSystem {
+/// A disk whose syncs block while the test holds `gate`.
+struct StallingDisk final : FileSystem {
   std::shared_ptr<VirtualDisk> disk = std::make_shared<VirtualDisk>();
   std::mutex gate;
-  struct Slow final : File {
+  struct SlowFile final : File {
     std::unique_ptr<File> file;
     std::mutex& gate;
-    Slow(std::unique_ptr<File> inner, std::mutex& g) : file(std::move(inner)), gate(g) {}
+    SlowFile(std::unique_ptr<File> inner, std::mutex& g) : file(std::move(inner)), gate(g) {}
     Error append(std::string_view bytes) override { return file->append(bytes); }
     Error sync() override {
       std::lock_guard wait(gate);
@@ -148,7 +152,7 @@
   Error create(const std::string& name, std::unique_ptr<File>& file) override {
     std::unique_ptr<File> inner;
     Error f = disk->create(name, inner);
-    file = std::make_unique<Slow>(std::move(inner), gate);
+    file = std::make_unique<SlowFile>(std::move(inner), gate);
     return f;
   }
   Error rename(const std::string& from, const std::string& to) override {
@@ -158,8 +162,8 @@
   Error sync_directory() override { return disk->sync_directory(); }
 };
 
-TEST(Committer, AStalledDiskHoldsNobodyUpAndGetsEverythingLater) {
-  auto files = std::make_shared<Stalled>();
+TEST(Committer, StalledDiskDoesNotBlockAndGetsAllChangesLater) {
+  auto files = std::make_shared<StallingDisk>();
   Limits limits{.waiting_bytes = 4096};
   auto journal = std::make_shared<Journal>(files, limits);
   Journal::Contents opened;
@@ -167,16 +171,16 @@
   Store store(limits);
   auto committer = std::make_unique<Committer>(journal);
   Store::Sequence token = 0, last = 0;
-  Error fault = Error::None;
+  Error error = Error::None;
   {
     std::lock_guard stall(files->gate);
-    // More than may wait: every call returns, and the last ones say that the disk is behind.
+    // More changes than may wait: every call returns at once, and the last ones report Backlogged.
     for (int k = 0; k < 100; ++k) {
-      fault = store.put("k" + std::to_string(k), std::string(100, 'v'), 0, token);
-      if (fault == Error::None) last = token;
+      error = store.put("k" + std::to_string(k), std::string(100, 'v'), 0, token);
+      if (error == Error::None) last = token;
       committer->submit(store.batch(), 0);
     }
-    EXPECT_EQ(fault, Error::Backlogged);
+    EXPECT_EQ(error, Error::Backlogged);
     EXPECT_EQ(committer->state().durable, 0u);
     EXPECT_TRUE(committer->state().busy);
   }
