--- a/src/rig/cache_server.hpp
+++ b/src/rig/cache_server.hpp
@@ -40,15 +40,15 @@
 /// Fault that a cache server injects.
 enum class CacheFault {
   None,
-  Slow,                 ///< answers take ten times as long
-  Silent,               ///< reads commands but never answers
-  Rejecting,            ///< rejects every command as busy, without running it
-  Failing,              ///< answers every command with an error
-  Malformed,            ///< runs the command and answers random bytes
-  Reset,                ///< runs the command and resets the connection
-  Truncated,            ///< runs the command, sends half of the answer and closes
-  OtherKey,             ///< runs the command and answers with another request's id, key and opaque
-  WrongProtocol,        ///< speaks only the protocol that the client does not use
+  Slow,           ///< answers take ten times as long
+  Silent,         ///< reads commands but never answers
+  Rejecting,      ///< rejects every command as busy, without running it
+  Failing,        ///< answers every command with an error
+  Malformed,      ///< runs the command and answers random letters
+  Reset,          ///< runs the command and resets the connection
+  Truncated,      ///< runs the command, sends half of the answer and closes
+  OtherKey,       ///< answers as for another request: other id (meta), key and opaque (binary)
+  WrongProtocol,  ///< speaks only the protocol that the client does not use
   RefusingConnections,  ///< resets new and open connections
 };
 /// Parses a fault name of the command line. Throws std::invalid_argument on an unknown name.
--- a/src/rig/discovery_server.hpp
+++ b/src/rig/discovery_server.hpp
@@ -23,7 +23,7 @@
   Slow,       ///< answers one second late
   Silent,     ///< accepts calls and never answers
   Down,       ///< answers 503, also to the open watches
-  Malformed,  ///< answers JSON that is no list
+  Malformed,  ///< answers text that is no list
   Truncated,  ///< answers half of the list
   Reset,      ///< closes the connection without an answer
 };
