--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -7,7 +7,7 @@
   Settings settings;
   ClassSettings page;
   page.name = "page";
-  page.aim = 150'000;
+  page.latency_objective = 150'000;
   page.deadline = 600'000;
   settings.classes.push_back(page);
 
@@ -20,7 +20,7 @@
 
   Request request;
   request.id = 1;
-  request.type = "page";
+  request.class_name = "page";
   request.key = "/index";
   request.remaining = 600'000;
   for (const Action& action : balancer.on_request(now, request)) {
@@ -28,6 +28,6 @@
       std::printf("send request %llu to %s\n", static_cast<unsigned long long>(send->id),
                   send->server.c_str());
     if (const Timer* timer = std::get_if<Timer>(&action))
-      std::printf("call on_timer in %lld us\n", static_cast<long long>(timer->after));
+      std::printf("call on_timer in %lld us\n", static_cast<long long>(timer->delay));
   }
 }
--- a/include/robinseam/balancer.hpp
+++ b/include/robinseam/balancer.hpp
@@ -35,14 +35,14 @@
 
 struct ClassSettings {
   std::string name;
-  Micros aim = 0;         ///< an answer within this time earns full worth
-  Micros deadline = 0;    ///< the client's whole patience, all its tries together
-  double worth = 1;       ///< per request, or per unit of work (Settings::worth_by_work)
-  double late_worth = 0;  ///< part of the worth for an answer after the aim, 0 to 1
+  Micros latency_objective = 0;  ///< an answer within this time earns full worth
+  Micros deadline = 0;           ///< the client's whole patience, all its tries together
+  double worth = 1;              ///< per request, or per unit of work (Settings::worth_by_work)
+  double late_worth = 0;         ///< part of the worth for an answer after the aim, 0 to 1
   Effect effect = Effect::Repeatable;
   Group group = Group::All;  ///< for Keyed
   Micros key_ttl = 0;        ///< for Keyed: from the send of the first attempt that may have run
-  bool streamed = false;     ///< answers start with an on_first
+  bool streamed = false;     ///< answers start with on_answer_start
   bool operator==(const ClassSettings&) const = default;
 };
 
@@ -62,7 +62,7 @@
   PerSecond,
   ErrorsPerSecond,
   HitShare,
-  FetchesOut,
+  FetchesInFlight,
   Unknown,
 };
 
@@ -75,13 +75,13 @@
   std::vector<ReportField> report_fields;
   std::string zone;                ///< the router's own zone; may be empty
   std::vector<std::string> zones;  ///< all zones
-  std::string origin_kind;         ///< aside mode: servers of this kind are the origin
-  bool aside = false;              ///< misses come back to the router, which asks the origin
+  std::string origin_kind;         ///< cache-aside mode: servers of this kind are the origin
+  bool cache_aside = false;        ///< misses come back to the router, which asks the origin
   int routers = 1;                 ///< routers in the tier, this one included
-  bool must_ask = false;           ///< the list comes only on Watch or Fetch
+  bool poll_list = false;          ///< the list comes only on WatchList or FetchList
   bool may_cancel = false;
   bool may_probe = false;
-  bool second_copies = false;  ///< a request may have two attempts out together
+  bool may_hedge = false;  ///< a request may have two attempts out together
   bool worth_by_work = false;
   bool weights_listed = false;  ///< Server::weight carries a size
   int max_attempts = 1;
@@ -93,12 +93,12 @@
   double over_share_worth = 1;
   // The figures of the rules.
   Micros answer_slack = 0;
-  Micros ask_within = 10'000'000;
+  Micros max_poll_delay = 10'000'000;
   Micros drain_grace = 0;
-  double cold_share = 0.3;       ///< a cold server starts at no less than this part of its capacity
-  Micros cold_time = 0;          ///< and is warm no later than this
-  double overload_factor = 3;    ///< sent more than this multiple of its capacity
-  Micros tip_after = 1'500'000;  ///< for this long, a cold server falls over
+  double cold_share = 0.3;     ///< a cold server starts at no less than this part of its capacity
+  Micros cold_time = 0;        ///< and is warm no later than this
+  double overload_factor = 3;  ///< sent more than this multiple of its capacity
+  Micros overload_time = 1'500'000;  ///< for this long, a cold server falls over
   bool operator==(const Settings&) const = default;
 };
 
@@ -115,40 +115,41 @@
 };
 
 enum class ListScope {
-  Delta,    ///< only the entries that changed
-  Full,     ///< the complete list
-  Cached,   ///< the complete list as last held, perhaps out of date
-  Doubted,  ///< the same, and likely out of date: discovery is asked at once
-  Failed,   ///< a Watch or Fetch failed, or the watch broke
+  Delta,       ///< only the entries that changed
+  Full,        ///< the complete list
+  Cached,      ///< the complete list as last held, perhaps out of date
+  Unverified,  ///< the same, and likely out of date: discovery is asked at once
+  Failed,      ///< a WatchList or FetchList failed, or the watch broke
 };
 
 struct Request {
   RequestId id = 0;
-  std::string type;            ///< the name of its class; an unknown one is treated as the first
+  std::string class_name;      ///< the name of its class; an unknown one is treated as the first
   std::string tenant;          ///< may be empty
   std::string key;             ///< requests of one key go together; may be empty
   Micros remaining = 0;        ///< until the client gives this try up
   std::optional<Micros> work;  ///< expected work, as time on a standard core
-  bool repeat = false;         ///< its client marked it as its own further try
+  bool retry = false;          ///< its client marked it as its own further try
   bool write = false;
-  bool unkeyed = false;     ///< bears no idempotency key: in a Keyed class it is treated as Once
-  std::string idempotency;  ///< a keyed write's; empty: its tries can't be told to be the same
+  bool lacks_idempotency_key =
+      false;                    ///< has no idempotency key: in a Keyed class it is treated as Once
+  std::string idempotency_key;  ///< a keyed write's; empty: its tries can't be told to be the same
 };
 
 enum class Status {
   Ok,
-  Error,          ///< may have run
-  Full,           ///< turned away unseen
-  Timeout,        ///< may have run or be running
-  ConnectFailed,  ///< never ran
-  Reset,          ///< may have run
-  Cancelled,      ///< may have run
-  Moot,           ///< never sent
-  Miss,           ///< aside mode: nothing held there for the key
-  Spoilt,         ///< answered with what can't be read, or behind such an answer; may have run
-  NoRoom,         ///< the server is well and has no room for one more connection; never ran
+  Error,            ///< may have run
+  Rejected,         ///< turned away unseen
+  Timeout,          ///< may have run or be running
+  ConnectFailed,    ///< never ran
+  Reset,            ///< may have run
+  Cancelled,        ///< may have run
+  NotSent,          ///< never sent
+  Miss,             ///< aside mode: nothing held there for the key
+  Malformed,        ///< answered with what can't be read, or behind such an answer; may have run
+  ConnectionLimit,  ///< the server is well and has no room for one more connection; never ran
 };
-constexpr std::size_t kStatuses = 11;
+constexpr std::size_t kStatusCount = 11;
 
 struct Outcome {
   RequestId id = 0;
@@ -157,21 +158,21 @@
   Status status = Status::Ok;
   Micros latency = 0;
   int attempt = 0;
-  int note = 0;                ///< 1 hit, 2 miss, 3 miss with a fetch already out, 0 not told
+  int cache_result = 0;        ///< 1 hit, 2 miss, 3 miss with a fetch already out, 0 not told
   std::vector<double> report;  ///< as in Settings::report_fields; may be empty or shorter
-  /// Nobody waits for a further attempt now; on_again() tells when somebody does.
-  bool held = false;
+  /// Nobody waits for a further attempt now; on_resume() tells when somebody does.
+  bool paused = false;
 };
 
 // ---- actions ----
 struct Send {
   RequestId id;
   std::string server;
-  Micros patience;  ///< 0 = until the client quits
+  Micros timeout;  ///< 0 = until the client quits
 };
 struct Refuse {
   RequestId id;
-  Micros wait;
+  Micros retry_after;
 };  ///< final: trying again is harmless
 struct Fail {
   RequestId id;
@@ -180,22 +181,22 @@
   RequestId id;
   int attempt;
 };
-struct Watch {};  ///< ask for changes of the list from now on
-struct Fetch {};  ///< ask for the whole list once
+struct WatchList {};  ///< ask for changes of the list from now on
+struct FetchList {};  ///< ask for the whole list once
 struct Timer {
-  Micros after;
+  Micros delay;
   std::uint64_t token;
 };  ///< call on_timer(token) then
 struct Probe {
   std::string server;
 };
-using Action = std::variant<Send, Refuse, Fail, Cancel, Watch, Fetch, Timer, Probe>;
+using Action = std::variant<Send, Refuse, Fail, Cancel, WatchList, FetchList, Timer, Probe>;
 using Actions = std::vector<Action>;
 
 namespace limits {
 class Rule;
-enum class Place { Origin, Server };
-using RuleMaker = std::function<std::unique_ptr<Rule>(Place)>;
+enum class LimitTarget { Origin, Server };
+using LimitFactory = std::function<std::unique_ptr<Rule>(LimitTarget)>;
 }  // namespace limits
 
 /// Decides for one router. Contract breaches are harmless: an outcome, end or timer for a request
@@ -206,7 +207,7 @@
   /// Throws std::invalid_argument when `settings` cannot be used. `rules`: what limits attempts, in
   /// place of the windows that service runs on; for experiments.
   Balancer(const Settings& settings, std::uint64_t seed, Micros now,
-           const limits::RuleMaker& rules = {});
+           const limits::LimitFactory& rules = {});
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
@@ -215,16 +216,16 @@
   Actions start(Micros now);
   Actions on_list(Micros now, ListScope scope, const std::vector<Server>& entries);
   Actions on_request(Micros now, const Request& request);
-  Actions on_first(Micros now, RequestId id, const std::string& server, int attempt,
-                   Micros latency);
+  Actions on_answer_start(Micros now, RequestId id, const std::string& server, int attempt,
+                          Micros latency);
   Actions on_outcome(Micros now, const Outcome& outcome);
   /// Somebody waits again for a request whose last outcome was held: it goes on or is ended.
-  Actions on_again(Micros now, RequestId id);
+  Actions on_resume(Micros now, RequestId id);
   /// The client left; nothing more is owed.
-  Actions on_gone(Micros now, RequestId id);
+  Actions on_client_gone(Micros now, RequestId id);
   Actions on_timer(Micros now, std::uint64_t token);
-  Actions on_probe(Micros now, const std::string& server, Status status, Micros latency,
-                   const std::vector<double>& report);
+  Actions on_probe_result(Micros now, const std::string& server, Status status, Micros latency,
+                          const std::vector<double>& report);
 
   /// Figures for tests and for the router's own metrics.
   struct Stats {
@@ -234,25 +235,27 @@
     std::size_t servers = 0;
     std::uint64_t draws = 0;  ///< LCG draws since the start
     /// Refused at the door, for want of a server, and after attempts that never ran.
-    std::uint64_t turned_away = 0, unsendable = 0, given_up = 0;
+    std::uint64_t shed = 0, unroutable = 0, failed_after_attempts = 0;
     /// Further attempts after the last had ended, copies beside one that was out, and attempts at
     /// servers judged dead that have not answered since.
-    std::uint64_t retries = 0, copies = 0, trials = 0;
-    double shed_fetched = 0,
-           shed_held = 0;  ///< parts refused lately, of keys to fetch and of those held
-    double fetch_limit = 0, fetches_out = 0;  ///< fetches from the origin: may be out, and are
+    std::uint64_t retries = 0, hedges = 0, trials = 0;
+    double uncached_shed_share = 0,
+           cached_shed_share = 0;  ///< parts refused lately, of keys to fetch and of those held
+    double fetch_limit = 0,
+           fetches_in_flight = 0;  ///< fetches from the origin: may be out, and are
     /// Per attempt lately.
-    double late = 0, errors = 0, full = 0, unreachable = 0, spoilt = 0;
-    double utilization = 0;              ///< mean of reports lately
-    double live = 0;                     ///< servers, by the part that is live
-    double near_pull = 0;                ///< part of foreign segments that is passed over, 0 to 1
-    int came_back = 0;                   ///< 0: not settled, 1: alone, 2: with others of its tier
-    std::size_t writes_known = 0;        ///< keyed writes whose first send is remembered
-    std::uint64_t writes_forgotten = 0;  ///< before their time, for want of room
+    double late_rate = 0, error_rate = 0, rejected_rate = 0, unreachable_rate = 0,
+           malformed_rate = 0;
+    double utilization = 0;            ///< mean of reports lately
+    double live_servers = 0;           ///< servers, by the part that is live
+    double zone_affinity = 0;          ///< part of foreign segments that is passed over, 0 to 1
+    int restart_verdict = 0;           ///< 0: not settled, 1: alone, 2: with others of its tier
+    std::size_t tracked_writes = 0;    ///< keyed writes whose first send is remembered
+    std::uint64_t evicted_writes = 0;  ///< before their time, for want of room
   };
   Stats stats() const;
   /// Where an idle fleet would serve the key's first request now: the server id, or empty.
-  std::string home(const std::string& key) const;
+  std::string home_server(const std::string& key) const;
   /// The part of its slots a listed server is live over now, 0 to 1.
   double live_fraction(const std::string& server) const;
 
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -34,12 +34,12 @@
 
 Core::Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
            Lister& lister, std::size_t max_open, std::size_t max_ids,
-           const robinseam::limits::RuleMaker& rules)
+           const robinseam::limits::LimitFactory& rules)
     : clock_(clock),
       lister_(lister),
       classes_(settings.classes),
-      aside_(settings.aside),
-      second_copies_(settings.second_copies),
+      aside_(settings.cache_aside),
+      second_copies_(settings.may_hedge),
       longest_deadline_(longest_of(settings.classes)),
       balancer_(settings, seed, clock.now(), rules),
       id_seed_(mixed(seed)),
@@ -52,7 +52,7 @@
   Micros now = clock_.now();
   perform("start", 0, now, balancer_.start(now));
   using Scope = robinseam::ListScope;
-  list(doubted ? Scope::Doubted : Scope::Cached, std::move(known));
+  list(doubted ? Scope::Unverified : Scope::Cached, std::move(known));
 }
 
 // ---- requests ----
@@ -143,7 +143,7 @@
     Attempt& a = open.attempts[k];
     if (!a.carried || !open.carrier->take_back(a.server, id, static_cast<int>(k))) continue;
     a.carried = a.may_have_run = false;
-    if (a.out) tell_outcome(id, open, static_cast<int>(k), Status::Moot, nullptr);
+    if (a.out) tell_outcome(id, open, static_cast<int>(k), Status::NotSent, nullptr);
   }
 }
 
@@ -257,11 +257,11 @@
       status = open.carrier->cancel(a.server, id, static_cast<int>(k));
     }
     a.carried = false;
-    bool unreached = status == Status::Moot && !open.carrier->remote();
+    bool unreached = status == Status::NotSent && !open.carrier->remote();
     tell_outcome(id, open, static_cast<int>(k),
-                 unreached                ? Status::ConnectFailed
-                 : status == Status::Moot ? Status::Moot
-                                          : Status::Timeout,
+                 unreached                   ? Status::ConnectFailed
+                 : status == Status::NotSent ? Status::NotSent
+                                             : Status::Timeout,
                  nullptr);
   }
   if (attempt == kClient && !open.answered)
@@ -274,8 +274,8 @@
   Attempt& a = open.attempts[static_cast<std::size_t>(attempt)];
   a.out = false;
   open.missed = status == Status::Miss;
-  if (status == Status::Full || status == Status::ConnectFailed || status == Status::Moot ||
-      status == Status::Miss || status == Status::NoRoom)
+  if (status == Status::Rejected || status == Status::ConnectFailed || status == Status::NotSent ||
+      status == Status::Miss || status == Status::ConnectionLimit)
     a.may_have_run = false;
   ++counts_.outcomes[static_cast<std::size_t>(status)];
   if (at_servers_.size() < kMostCounted || at_servers_.count(a.server))
@@ -286,11 +286,11 @@
   e.outcome.status = status;
   e.outcome.latency = clock_.now() - a.sent;
   e.outcome.attempt = attempt;
-  e.outcome.held = held;
+  e.outcome.paused = held;
   if (result) {
     counts_.hits += result->note == 1;
     counts_.misses += result->note > 1;
-    e.outcome.note = result->note;
+    e.outcome.cache_result = result->note;
     e.outcome.report = std::move(result->report);
   }
   ++open.untold;
@@ -349,22 +349,22 @@
       }
       robinseam::Request r;
       r.id = e->id;
-      r.type = open.request.type;
+      r.class_name = open.request.type;
       r.tenant = open.request.tenant;
       r.key = open.request.key;
       r.remaining = std::max<Micros>(0, open.deadline - now);
       r.work = open.request.work;
-      r.repeat = open.request.repeat;
+      r.retry = open.request.repeat;
       r.write = open.request.write;
-      r.unkeyed = open.request.write && !open.request.keyed;
-      if (open.request.keyed) r.idempotency = open.request.idempotency;
+      r.lacks_idempotency_key = open.request.write && !open.request.keyed;
+      if (open.request.keyed) r.idempotency_key = open.request.idempotency;
       set_timer(open.deadline, Due::Expiry, e->id, kClient);
       perform("request", e->id, now, balancer_.on_request(now, r));
     } else if (auto* e = std::get_if<GoneEvent>(&event)) {
-      perform("gone", e->id, now, balancer_.on_gone(now, e->id));
+      perform("gone", e->id, now, balancer_.on_client_gone(now, e->id));
       forget_if_done(e->id);
     } else if (auto* e = std::get_if<AgainEvent>(&event)) {
-      perform("again", e->id, now, balancer_.on_again(now, e->id));
+      perform("again", e->id, now, balancer_.on_resume(now, e->id));
     } else if (auto* e = std::get_if<ListEvent>(&event)) {
       perform("list", 0, now, balancer_.on_list(now, e->scope, e->servers));
     } else if (auto* e = std::get_if<TimerEvent>(&event)) {
@@ -389,12 +389,12 @@
   // An answer may have come while the module did not know of it yet.
   if (open.answered || open.left || now >= open.deadline) {
     open.attempts.back().carried = false;
-    tell_outcome(a.id, open, attempt, Status::Moot, nullptr);
+    tell_outcome(a.id, open, attempt, Status::NotSent, nullptr);
     return;
   }
   Micros wait = open.deadline - now;
-  if (a.patience > 0 && a.patience < wait && !open.carrier->remote()) {
-    wait = a.patience;
+  if (a.timeout > 0 && a.timeout < wait && !open.carrier->remote()) {
+    wait = a.timeout;
     set_timer(now + wait, Due::Expiry, a.id, attempt);
   }
   open.carrier->send(a.server, a.id, attempt, open.request, wait);
@@ -406,7 +406,7 @@
   ++counts_.refused;
   Reply reply;
   reply.kind = Reply::Kind::Refused;
-  reply.come_back = a.wait;
+  reply.come_back = a.retry_after;
   give_reply(it->second, std::move(reply));
   forget_if_done(a.id);
 }
@@ -436,7 +436,7 @@
 }
 
 void Core::act(const robinseam::Timer& a) {
-  set_timer(clock_.now() + a.after, Due::Module, a.token);
+  set_timer(clock_.now() + a.delay, Due::Module, a.token);
 }
 
 }  // namespace arrowfork
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -34,7 +34,8 @@
   /// `wait`: until the router stops waiting.
   virtual void send(const std::string& server, RequestId id, int attempt, const Request& request,
                     Micros wait) = 0;
-  /// Gives an attempt up: Moot where the server has nothing of it, Cancelled where it may have run.
+  /// Gives an attempt up: NotSent where the server has nothing of it, Cancelled where it may have
+  /// run.
   virtual Status cancel(const std::string& server, RequestId id, int attempt) = 0;
   /// The same where another attempt is to follow and no two may be out at once: it must not go on
   /// at its server. Nothing where it can't be ended without harm to others, and goes on.
@@ -48,7 +49,7 @@
   virtual bool keeps_key(const Request& request) const = 0;
   /// Attempts are carried out by somebody else who is only told of them. Then no patience is held
   /// against them but the request's own time, since giving one up would not reach who carries it;
-  /// and one that was never sent (Moot) says nothing of whether its server could be reached.
+  /// and one that was never sent (NotSent) says nothing of whether its server could be reached.
   virtual bool remote() const { return false; }
 
  protected:
@@ -83,7 +84,7 @@
   /// `rules` as for the module's constructor.
   Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
        Lister& lister, std::size_t max_open, std::size_t max_ids,
-       const robinseam::limits::RuleMaker& rules = {});
+       const robinseam::limits::LimitFactory& rules = {});
 
   /// Call once: begins with the list as last held; `doubted`: it is likely to have changed.
   void start(std::vector<robinseam::Server> known, bool doubted = false);
@@ -129,7 +130,7 @@
   const std::vector<robinseam::ClassSettings>& classes() const { return classes_; }
   struct Counts {
     std::uint64_t requests = 0, refused = 0, failed = 0, gone = 0, hits = 0, misses = 0;
-    std::array<std::uint64_t, robinseam::kStatuses> outcomes{};  ///< by Status
+    std::array<std::uint64_t, robinseam::kStatusCount> outcomes{};  ///< by Status
     /// By class, in the settings' order; a request whose client has left is under none.
     struct Ends {
       std::uint64_t served = 0, refused = 0, failed = 0;
@@ -137,7 +138,7 @@
     std::vector<Ends> ends;
   };
   const Counts& counts() const { return counts_; }
-  using Outcomes = std::array<std::uint32_t, robinseam::kStatuses>;  ///< by Status
+  using Outcomes = std::array<std::uint32_t, robinseam::kStatusCount>;  ///< by Status
   /// What attempts at each server came to since the last call. Of kMostCounted servers at most:
   /// what ends elsewhere until the next call is under none.
   std::map<std::string, Outcomes> take_server_counts() { return std::exchange(at_servers_, {}); }
@@ -205,8 +206,8 @@
   void act(const robinseam::Refuse& a);
   void act(const robinseam::Fail& a);
   void act(const robinseam::Cancel& a);
-  void act(const robinseam::Watch&) { lister_.watch(); }
-  void act(const robinseam::Fetch&) { lister_.fetch(); }
+  void act(const robinseam::WatchList&) { lister_.watch(); }
+  void act(const robinseam::FetchList&) { lister_.fetch(); }
   void act(const robinseam::Timer& a);
   void act(const robinseam::Probe&) {}  // the module probes nothing; no site allows it
   void expire(RequestId id, int attempt);
--- a/src/drill/settings.cpp
+++ b/src/drill/settings.cpp
@@ -17,7 +17,7 @@
                                         {"tps", ReportField::PerSecond},
                                         {"err_ps", ReportField::ErrorsPerSecond},
                                         {"x0", ReportField::HitShare},
-                                        {"x1", ReportField::FetchesOut}}};
+                                        {"x1", ReportField::FetchesInFlight}}};
 
 }  // namespace
 
@@ -77,7 +77,7 @@
     std::string at = "Classes." + std::to_string(k) + ".";
     ClassSettings c;
     c.name = text(at + "Name");
-    c.aim = integer(at + "ObjectiveUs", 0);
+    c.latency_objective = integer(at + "ObjectiveUs", 0);
     c.deadline = integer(at + "DeadlineUs", 0);
     c.worth = number(at + "Worth", 1);
     c.late_worth = number(at + "LateWorth", 0);
@@ -96,16 +96,16 @@
     s.report_fields.push_back(look_up(kField, name).value_or(ReportField::Unknown));
   s.zone = text("Az");
   for (std::string_view zone : split(text("FailureDomains"), ',')) s.zones.emplace_back(zone);
-  s.aside = text("Domain.Mode") == "aside";
+  s.cache_aside = text("Domain.Mode") == "aside";
   auto kinds = split(text("MachineTypes"), ',');
   std::int64_t origin = integer("Domain.OriginKind", -1);
   if (origin >= 0 && origin < static_cast<std::int64_t>(kinds.size()))
     s.origin_kind = kinds[origin];
   s.routers = static_cast<int>(in_range(integer("Balancers", 1), 1, 10'000'000, "Balancers"));
-  s.must_ask = text("MembershipMode") == "subscribe";
+  s.poll_list = text("MembershipMode") == "subscribe";
   s.may_cancel = flag("Limits.MayCancel");
   s.may_probe = flag("Limits.MayProbe");
-  s.second_copies = flag("Limits.SecondCopies");
+  s.may_hedge = flag("Limits.SecondCopies");
   s.worth_by_work = text("ValueBy") == "work";
   s.weights_listed = text("Weights") != "off" && !text("Weights").empty();
   s.max_attempts =
@@ -117,12 +117,12 @@
   s.late_fail_charge = number("Charges.LateFail", 0);
   s.over_share_worth = number("OverShareWorth", 1);
   s.answer_slack = integer("Rules.AnswerSlackUs", 0);
-  s.ask_within = integer("Rules.AskWithinUs", 10'000'000);
+  s.max_poll_delay = integer("Rules.AskWithinUs", 10'000'000);
   s.drain_grace = integer("Rules.DrainGraceUs", 0);
   s.cold_share = number("Rules.ColdShare", 0.3);
   s.cold_time = integer("Rules.ColdUs", 0);
   s.overload_factor = number("Rules.OverloadFactor", 3);
-  s.tip_after = integer("Rules.TipAfterUs", 1'500'000);
+  s.overload_time = integer("Rules.TipAfterUs", 1'500'000);
   return s;
 }
 
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -5,12 +5,12 @@
 
 constexpr Words<Status, 9> kStatus{{{"completed", Status::Ok},
                                     {"errored", Status::Error},
-                                    {"saturated", Status::Full},
+                                    {"saturated", Status::Rejected},
                                     {"overdue", Status::Timeout},
                                     {"refused_conn", Status::ConnectFailed},
                                     {"severed", Status::Reset},
                                     {"recalled", Status::Cancelled},
-                                    {"superseded", Status::Moot},
+                                    {"superseded", Status::NotSent},
                                     {"lookup_miss", Status::Miss}}};
 RequestId request_id(const Line& line) {
   return static_cast<RequestId>(
@@ -91,12 +91,12 @@
   struct Writer {
     std::string operator()(const Send& a) const {
       std::string line = "route Tid=" + std::to_string(a.id) + " Server=" + a.server;
-      if (a.patience > 0) line += " PatienceUs=" + std::to_string(a.patience);
+      if (a.timeout > 0) line += " PatienceUs=" + std::to_string(a.timeout);
       return line;
     }
     std::string operator()(const Refuse& a) const {
       std::string line = "deny Tid=" + std::to_string(a.id);
-      if (a.wait > 0) line += " WaitUs=" + std::to_string(a.wait);
+      if (a.retry_after > 0) line += " WaitUs=" + std::to_string(a.retry_after);
       return line;
     }
     std::string operator()(const Fail& a) const {
@@ -105,10 +105,10 @@
     std::string operator()(const Cancel& a) const {
       return "call_off Tid=" + std::to_string(a.id) + " SendNo=" + std::to_string(a.attempt);
     }
-    std::string operator()(const Watch&) const { return "follow Want=1"; }
-    std::string operator()(const Fetch&) const { return "pull"; }
+    std::string operator()(const WatchList&) const { return "follow Want=1"; }
+    std::string operator()(const FetchList&) const { return "pull"; }
     std::string operator()(const Timer& a) const {
-      return "wake_at SpanUs=" + std::to_string(a.after) + " Nonce=" + std::to_string(a.token);
+      return "wake_at SpanUs=" + std::to_string(a.delay) + " Nonce=" + std::to_string(a.token);
     }
     std::string operator()(const Probe& a) const { return "health_check Server=" + a.server; }
   };
@@ -194,17 +194,17 @@
   } else if (name == "arrival") {
     Request r;
     r.id = request_id(line);
-    r.type = line.text("Type");
+    r.class_name = line.text("Type");
     if (const auto* v = line.find("Project")) r.tenant = *v;
     if (const auto* v = line.find("Entity")) r.key = *v;
     r.remaining = span(line, "RemainingUs");
     if (line.find("HintUs")) r.work = span(line, "HintUs");
-    r.repeat = line.flag("Repeat");
+    r.retry = line.flag("Repeat");
     r.write = line.flag("Mutates");
     emit(current().on_request(now_, r));
   } else if (name == "established") {
-    emit(current().on_first(now_, request_id(line), std::string(line.text("Server")),
-                            attempt_of(line), span(line, "LatencyUs", 0)));
+    emit(current().on_answer_start(now_, request_id(line), std::string(line.text("Server")),
+                                   attempt_of(line), span(line, "LatencyUs", 0)));
   } else if (name == "verdict") {
     Outcome o;
     o.id = request_id(line);
@@ -213,18 +213,18 @@
     o.status = word(kStatus, line.text("Rc"), "Rc");
     o.latency = span(line, "LatencyUs", 0);
     o.attempt = attempt_of(line);
-    o.note = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
+    o.cache_result = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
     o.report = report_of(line);
     emit(current().on_outcome(now_, o));
   } else if (name == "left") {
-    emit(current().on_gone(now_, request_id(line)));
+    emit(current().on_client_gone(now_, request_id(line)));
   } else if (name == "ring") {
     emit(current().on_timer(
         now_, static_cast<std::uint64_t>(in_range(line.integer("Nonce"), 0, INT64_MAX, "Nonce"))));
   } else if (name == "check_result") {
-    emit(current().on_probe(now_, std::string(line.text("Server")),
-                            word(kStatus, line.text("Rc"), "Rc"), span(line, "LatencyUs", 0),
-                            report_of(line)));
+    emit(current().on_probe_result(now_, std::string(line.text("Server")),
+                                   word(kStatus, line.text("Rc"), "Rc"), span(line, "LatencyUs", 0),
+                                   report_of(line)));
   } else if (name == "peer") {
     current();  // routers share nothing
   } else {
--- a/src/emu/day.cpp
+++ b/src/emu/day.cpp
@@ -183,7 +183,7 @@
 }
 
 void ModelRouter::watch() {
-  if (day_.settings.must_ask && day_.plan.discovery.work > 0) return day_.call_discovery(*this);
+  if (day_.settings.poll_list && day_.plan.discovery.work > 0) return day_.call_discovery(*this);
   core_.list(robinseam::ListScope::Delta, {});
 }
 
@@ -236,7 +236,7 @@
     if (auto* send = std::get_if<robinseam::Send>(&action))
       for (char c : send->server) day_.fold(static_cast<unsigned char>(c));
     if (auto* refuse = std::get_if<robinseam::Refuse>(&action))
-      day_.fold(static_cast<std::uint64_t>(refuse->wait));
+      day_.fold(static_cast<std::uint64_t>(refuse->retry_after));
   }
 }
 
@@ -263,7 +263,7 @@
   bool dials = false;
   auto c = pick(pool, dials);
   if (!c) {  // no connection of our own: nothing was sent
-    core_.attempt_ended(id, attempt, Status::Moot, AttemptResult());
+    core_.attempt_ended(id, attempt, Status::NotSent, AttemptResult());
     return;
   }
   day_.second().dials += dials;
@@ -335,7 +335,7 @@
 void ModelRouter::end(const Flight& flight, Status status, const Answer& answer) {
   out_.erase(flight.name);
   Second& second = day_.second();
-  second.full += status == Status::Full;
+  second.full += status == Status::Rejected;
   second.errors += status == Status::Error;
   AttemptResult result;
   result.note = answer.note;
@@ -466,7 +466,7 @@
 
 void Day::tell_list() {
   time.after(plan.list_delay, [this, list = troubles.listed()] {
-    bool asks = plan.settings.must_ask && plan.discovery.work > 0;
+    bool asks = plan.settings.poll_list && plan.discovery.work > 0;
     for (auto& router : routers)
       if (!asks || router->watching()) router->list(list);
   });
@@ -532,8 +532,8 @@
   ++report.seconds[number].asked;
   ++report.banners[static_cast<std::size_t>(first.banner)].asked;
   ++report.classes[r.write].asked;
-  std::make_shared<Till>(*this, static_cast<int>(number), first.router, std::move(r), type.aim,
-                         type.deadline)
+  std::make_shared<Till>(*this, static_cast<int>(number), first.router, std::move(r),
+                         type.latency_objective, type.deadline)
       ->ask();
 }
 
@@ -576,12 +576,12 @@
   robinseam::Settings& s = plan.settings;
   robinseam::ClassSettings read, write;
   read.name = "price-lookup";
-  read.aim = 150 * kMillisecond;
+  read.latency_objective = 150 * kMillisecond;
   read.deadline = 600 * kMillisecond;
   read.worth = 3;
   read.late_worth = 0.25;
   write.name = "sale-record";
-  write.aim = 250 * kMillisecond;
+  write.latency_objective = 250 * kMillisecond;
   write.deadline = kSecond;
   write.worth = 2;
   write.late_worth = 0.3;
@@ -598,7 +598,7 @@
   s.zones = {"a"};
   s.max_attempts = 5;
   s.may_cancel = true;
-  s.second_copies = true;
+  s.may_hedge = true;
   s.worth_by_work = true;
   s.max_retry_after = kSecond;
   s.tick = 2 * kMillisecond;
@@ -608,7 +608,7 @@
   s.cold_share = 0.3;
   s.cold_time = 8 * kSecond;
   s.overload_factor = 4;
-  s.tip_after = 1500 * kMillisecond;
+  s.overload_time = 1500 * kMillisecond;
   return plan;
 }
 
@@ -656,7 +656,7 @@
         "%4zu %5d %4.0f %6.1f %6.2f %8d %9.2f %5d %4d %4d %5d %5.2f %6zu %4zu %8.2f %5.2f\n", k,
         s.asked, 100 * s.in_time / asked, 100 * s.late / asked, s.tries / asked, s.refused,
         s.attempts / asked, s.full, s.timeouts, s.errors, s.dials, s.busy, s.origin_queue,
-        s.in_flight, s.module.shed_fetched, s.module.fetch_limit);
+        s.in_flight, s.module.uncached_shed_share, s.module.fetch_limit);
     text += line;
   }
   return text;
--- a/src/emu/day.hpp
+++ b/src/emu/day.hpp
@@ -44,7 +44,7 @@
   GivenUp given_up = GivenUp::Budget;
   DiscoveryPlan discovery;  ///< where the settings say that lists are asked for
   std::vector<Return> returns;
-  robinseam::limits::RuleMaker rules;  ///< in place of the windows; empty: windows
+  robinseam::limits::LimitFactory rules;  ///< in place of the windows; empty: windows
 };
 
 /// A site like the one in service; `capacity_share` of the fleet's cores is what the tills ask for.
--- a/src/emu/fleet.cpp
+++ b/src/emu/fleet.cpp
@@ -69,7 +69,7 @@
                         Done done) {
   ++arrived_;
   if (trouble_ == Trouble::Silent) return;
-  if (trouble_ == Trouble::Full) return answer(done, {Status::Full, 0, 0, 0, 0});
+  if (trouble_ == Trouble::Full) return answer(done, {Status::Rejected, 0, 0, 0, 0});
   if (trouble_ == Trouble::Failing || (trouble_ == Trouble::WritesFail && request.write))
     return answer(done, {Status::Error, 0, 0, 0, 0});
   const FleetPlan& plan = fleet_.plan();
@@ -80,7 +80,7 @@
   Job job{request, work, std::move(given_up), std::move(done)};
   if (running_ < plan.cores) return begin(std::move(job));
   if (static_cast<int>(waiting_.size()) >= plan.waiting)
-    return answer(job.done, {Status::Full, 0, 0, 0, 0});
+    return answer(job.done, {Status::Rejected, 0, 0, 0, 0});
   waiting_.push_back(std::move(job));
 }
 
--- a/src/emu/rules.cpp
+++ b/src/emu/rules.cpp
@@ -13,7 +13,7 @@
 using robinseam::Micros;
 using robinseam::limits::Ask;
 using robinseam::limits::Evidence;
-using robinseam::limits::Place;
+using robinseam::limits::LimitTarget;
 using robinseam::limits::Rule;
 
 constexpr Micros kMs = 1000;
@@ -317,8 +317,8 @@
 
 /// The rule at the origin alone, nothing at the servers.
 template <typename Door>
-std::unique_ptr<Rule> at_the_door(Place place) {
-  if (place == Place::Origin) return std::make_unique<Door>();
+std::unique_ptr<Rule> at_the_door(LimitTarget place) {
+  if (place == LimitTarget::Origin) return std::make_unique<Door>();
   return std::make_unique<Open>();
 }
 
@@ -327,17 +327,18 @@
 const std::vector<NamedRules>& all_rules() {
   static const std::vector<NamedRules> all = {
       {"windows", "Chiu and Jain 1989, RFC 5681, Vegas", {}},
-      {"none", "nothing is limited", [](Place) { return std::make_unique<Open>(); }},
+      {"none", "nothing is limited", [](LimitTarget) { return std::make_unique<Open>(); }},
       {"shed-levels", "the module before the windows", at_the_door<ShedLevels>},
       {"gradient2", "Netflix concurrency-limits",
-       [](Place) { return std::make_unique<Gradient2>(); }},
+       [](LimitTarget) { return std::make_unique<Gradient2>(); }},
       {"vegas", "Netflix concurrency-limits; SIGCOMM 1994",
-       [](Place) { return std::make_unique<Vegas>(); }},
+       [](LimitTarget) { return std::make_unique<Vegas>(); }},
       {"envoy-adaptive", "Envoy adaptive concurrency",
-       [](Place) { return std::make_unique<EnvoyAdaptive>(); }},
+       [](LimitTarget) { return std::make_unique<EnvoyAdaptive>(); }},
       {"envoy-admission", "Envoy admission control; SRE book", at_the_door<EnvoyAdmission>},
       {"dagor", "DAGOR, SoCC 2018", at_the_door<Dagor>},
-      {"breakwater", "Breakwater, OSDI 2020", [](Place) { return std::make_unique<Breakwater>(); }},
+      {"breakwater", "Breakwater, OSDI 2020",
+       [](LimitTarget) { return std::make_unique<Breakwater>(); }},
   };
   return all;
 }
--- a/src/emu/rules.hpp
+++ b/src/emu/rules.hpp
@@ -13,7 +13,7 @@
 struct NamedRules {
   const char* name;
   const char* source;
-  robinseam::limits::RuleMaker maker;  ///< empty: the windows
+  robinseam::limits::LimitFactory maker;  ///< empty: the windows
 };
 
 /// Windows first.
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -279,14 +279,14 @@
   else if (std::string bin = value_of(headers, "endpoint-load-metrics-bin"); !bin.empty())
     result.report = orca_report_bin(bin, fields_).value_or(std::vector<double>());
   auto code = whole_number(value_of(headers, ":status"));
-  Status status = Status::Spoilt;
+  Status status = Status::Malformed;
   if (!served_by.empty() && served_by != e.address) {
     ++counts_.other_endpoint;  // what another server did says nothing of this one's attempt
     result = {};
   } else if (code && *code >= 200 && *code < 500) {
-    status = *code == 429 ? Status::Full : Status::Ok;
+    status = *code == 429 ? Status::Rejected : Status::Ok;
   } else if (code && *code >= 500 && *code < 600) {
-    status = *code == 503 && headers.count("retry-after") ? Status::Full : Status::Error;
+    status = *code == 503 && headers.count("retry-after") ? Status::Rejected : Status::Error;
   }
   ++counts_.reported;
   end_attempt(e, status, std::move(result));
@@ -313,7 +313,7 @@
   // The caller carries one attempt at a time: a second copy is never sent. Put in the first one's
   // place it took that one's report, and the first ran into a time-out that no server had caused.
   if (e.attempt >= 0) {
-    core_.attempt_ended(id, attempt, Status::Moot, {});
+    core_.attempt_ended(id, attempt, Status::NotSent, {});
     return;
   }
   e.attempt = attempt;
@@ -328,7 +328,7 @@
   Exchange& e = *it->second;
   bool told = std::exchange(e.told, false);
   e.attempt = -1;
-  return told ? Status::Cancelled : Status::Moot;
+  return told ? Status::Cancelled : Status::NotSent;
 }
 
 void Processor::tell(Exchange& e) {
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -243,7 +243,7 @@
 
 Server::~Server() { connections_.clear(); }
 
-bool Server::serving() const { return !draining_ && core_.module_stats().live > 0; }
+bool Server::serving() const { return !draining_ && core_.module_stats().live_servers > 0; }
 
 void Server::on_accept(evutil_socket_t, short, void* self) {
   auto* s = static_cast<Server*>(self);
--- a/src/limits/checks.cpp
+++ b/src/limits/checks.cpp
@@ -17,7 +17,7 @@
   auto amount = [](double v) { return std::isfinite(v) && v >= 0; };
   require(!set.classes.empty(), "classes");
   for (const ClassSettings& c : set.classes) {
-    require(c.aim >= 0, "classes.aim");
+    require(c.latency_objective >= 0, "classes.aim");
     require(c.deadline >= 0, "classes.deadline");
     require(c.key_ttl >= 0, "classes.key_ttl");
     require(amount(c.worth), "classes.worth");
@@ -31,13 +31,13 @@
   require(set.max_attempts >= 1, "max_attempts");
   require(set.tick >= 0, "tick");
   require(set.answer_slack >= 0, "answer_slack");
-  require(set.ask_within >= 0, "ask_within");
+  require(set.max_poll_delay >= 0, "ask_within");
   require(set.drain_grace >= 0, "drain_grace");
   require(set.max_retry_after >= 0, "max_retry_after");
   require(part(set.cold_share), "cold_share");
   require(set.cold_time >= 0, "cold_time");
   require(amount(set.overload_factor), "overload_factor");
-  require(set.tip_after >= 0, "tip_after");
+  require(set.overload_time >= 0, "tip_after");
   require(amount(set.cross_zone_charge), "cross_zone_charge");
 }
 
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -60,15 +60,15 @@
   return rules;
 }
 
-std::unique_ptr<Rule> made(const RuleMaker& maker, Place place, const WindowRules& usual) {
+std::unique_ptr<Rule> made(const LimitFactory& maker, LimitTarget place, const WindowRules& usual) {
   return maker ? maker(place) : std::make_unique<Window>(usual);
 }
 
 }  // namespace
 
-Limits::Limits(const Settings& settings, RuleMaker maker)
+Limits::Limits(const Settings& settings, LimitFactory maker)
     : maker_(std::move(maker)),
-      fetches_(made(maker_, Place::Origin, fetch_rules(settings.routers))),
+      fetches_(made(maker_, LimitTarget::Origin, fetch_rules(settings.routers))),
       miss_share_{1, kHeldMisses},
       jam_(kTierJammed / std::max(1, settings.routers)),
       retry_tokens_(kRetryCap / 2 * recovery::start_part(settings.routers)),
@@ -78,7 +78,7 @@
       max_wait_(settings.max_retry_after) {}
 
 std::unique_ptr<Rule> Limits::server_rule() const {
-  return made(maker_, Place::Server, kServerRules);
+  return made(maker_, LimitTarget::Server, kServerRules);
 }
 
 double Limits::fetch_weight(const Ask& ask) const {
--- a/src/limits/limits.hpp
+++ b/src/limits/limits.hpp
@@ -25,7 +25,7 @@
 class Limits {
  public:
   /// `maker`: rules in place of the windows; empty: windows.
-  Limits(const Settings& settings, RuleMaker maker);
+  Limits(const Settings& settings, LimitFactory maker);
   /// The rule of one server.
   std::unique_ptr<Rule> server_rule() const;
 
@@ -84,7 +84,7 @@
   };
   void note_turned(Micros now, bool held, bool refused);
 
-  RuleMaker maker_;
+  LimitFactory maker_;
   std::unique_ptr<Rule> fetches_;
   Blame blame_;
   Repeats repeats_;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -94,7 +94,7 @@
 ListSubscription::Options subscription_options(const Config& c) {
   ListSubscription::Options o;
   o.routers = c.settings.routers;
-  o.pushed = !c.settings.must_ask;
+  o.pushed = !c.settings.poll_list;
   o.seed = c.seed;
   o.grace = c.settings.drain_grace;
   return o;
@@ -358,7 +358,8 @@
   // What is held is from before: discovery is asked what has changed since. Whatever stopped this
   // process may have stopped the whole tier, so within the time that a tier's calls need.
   r->recovery_.stood_still(now);
-  robinseam::recovery::Asking asking(r->config_.settings.routers, r->config_.settings.ask_within);
+  robinseam::recovery::Asking asking(r->config_.settings.routers,
+                                     r->config_.settings.max_poll_delay);
   r->discovery_.look_again(asking.first(1));
   std::fprintf(stderr, "arrowfork: the process stood still; discovery is asked anew\n");
 }
--- a/src/net/router_log.cpp
+++ b/src/net/router_log.cpp
@@ -47,18 +47,18 @@
   add("gone", c.gone);
   add("hits", c.hits);
   add("misses", c.misses);
-  add("turned_away", m.turned_away);
-  add("unsendable", m.unsendable);
-  add("given_up", m.given_up);
+  add("turned_away", m.shed);
+  add("unsendable", m.unroutable);
+  add("given_up", m.failed_after_attempts);
   add("retries", m.retries);
-  add("copies", m.copies);
+  add("copies", m.hedges);
   add("trials", m.trials);
   add("curr_connections", clients_.connections());
   add("connections_meta", clients_.counts().meta);
   add("connections_binary", clients_.counts().binary);
   const char* const kOutcomes[] = {"ok",        "error", "full", "timeout", "unreached", "reset",
                                    "cancelled", "moot",  "miss", "spoilt",  "no_room"};
-  static_assert(std::size(kOutcomes) == robinseam::kStatuses);
+  static_assert(std::size(kOutcomes) == robinseam::kStatusCount);
   for (std::size_t k = 0; k < c.outcomes.size(); ++k)
     all.emplace_back(std::string("attempts_") + kOutcomes[k], std::to_string(c.outcomes[k]));
   add("server_connections", servers_.connections());
@@ -83,21 +83,21 @@
   all.emplace_back("recovery", robinseam::recovery::name_of(back.phase));
   add("recovery_since_ms", (clock_.now() - back.since) / kMillisecond);
   const char* const company[] = {"unknown", "alone", "together"};
-  all.emplace_back("came_back", company[m.came_back]);
-  add("writes_known", m.writes_known);
-  add("writes_forgotten", m.writes_forgotten);
+  all.emplace_back("came_back", company[m.restart_verdict]);
+  add("writes_known", m.tracked_writes);
+  add("writes_forgotten", m.evicted_writes);
   add("servers", m.servers);
-  part("servers_live", m.live);
-  part("near", m.near_pull);
-  part("shed_fetched", m.shed_fetched);
-  part("shed_held", m.shed_held);
+  part("servers_live", m.live_servers);
+  part("near", m.zone_affinity);
+  part("shed_fetched", m.uncached_shed_share);
+  part("shed_held", m.cached_shed_share);
   part("fetch_limit", m.fetch_limit);
-  part("fetches_out", m.fetches_out);
-  part("late", m.late);
-  part("errors", m.errors);
-  part("full", m.full);
-  part("unreachable", m.unreachable);
-  part("spoilt", m.spoilt);
+  part("fetches_out", m.fetches_in_flight);
+  part("late", m.late_rate);
+  part("errors", m.error_rate);
+  part("full", m.rejected_rate);
+  part("unreachable", m.unreachable_rate);
+  part("spoilt", m.malformed_rate);
   part("utilization", m.utilization);
   add("seeds", m.saved_seeds);
   add("keys", m.tracked_keys);
@@ -113,8 +113,8 @@
   std::fprintf(stderr,
                "arrowfork: settings: routers=%d lists=%s ask_within_ms=%lld drain_grace_ms=%lld "
                "longest_deadline_ms=%lld list=%s servers=%zu doubted=%d\n",
-               s.routers, s.must_ask ? "asked" : "pushed",
-               static_cast<long long>(s.ask_within / kMillisecond),
+               s.routers, s.poll_list ? "asked" : "pushed",
+               static_cast<long long>(s.max_poll_delay / kMillisecond),
                static_cast<long long>(s.drain_grace / kMillisecond),
                static_cast<long long>(core_.longest_deadline() / kMillisecond),
                config_.known.version.empty() ? "none" : config_.known.version.c_str(),
@@ -138,10 +138,11 @@
   std::string line;
   for (const auto& [id, counts] : core_.take_server_counts()) {
     auto of = [&counts = counts](Status s) { return counts[static_cast<std::size_t>(s)]; };
-    unsigned failed = of(Status::Error) + of(Status::Spoilt);
+    unsigned failed = of(Status::Error) + of(Status::Malformed);
     unsigned given_up = of(Status::Timeout) + of(Status::Cancelled);
-    unsigned unreached = of(Status::ConnectFailed) + of(Status::Reset) + of(Status::NoRoom);
-    unsigned full = of(Status::Full);
+    unsigned unreached =
+        of(Status::ConnectFailed) + of(Status::Reset) + of(Status::ConnectionLimit);
+    unsigned full = of(Status::Rejected);
     if (failed + full + given_up + unreached == 0) continue;
     char text[160];
     std::snprintf(text, sizeof text, " %s %u/%u/%u/%u/%u/%.2f", id.c_str(), of(Status::Ok), failed,
--- a/src/net/server_codec.cpp
+++ b/src/net/server_codec.cpp
@@ -91,7 +91,7 @@
   static Status status_of(const arrowfork::Answer& answer) {
     switch (answer.kind) {
       case arrowfork::Answer::Kind::Busy:
-        return Status::Full;
+        return Status::Rejected;
       case arrowfork::Answer::Kind::Error:
         return Status::Error;
       case arrowfork::Answer::Kind::Miss:
@@ -161,7 +161,7 @@
  private:
   static Status status_of(const Expected& e, std::uint16_t status) {
     if (status == binary::status::kOk) return Status::Ok;
-    if (status == binary::status::kBusy) return Status::Full;
+    if (status == binary::status::kBusy) return Status::Rejected;
     return status == binary::status::kNotFound && !e.write ? Status::Miss : Status::Error;
   }
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -250,8 +250,8 @@
   if (std::exchange(answered_, true)) {
     pool_.answered_at = used_at_;
   } else {
-    bool no_room = answer.status == Status::Full && ended();
-    if (no_room) answer.status = Status::NoRoom;
+    bool no_room = answer.status == Status::Rejected && ended();
+    if (no_room) answer.status = Status::ConnectionLimit;
     side_.note_dial(pool_, no_room);
   }
   if (!last && !std::exchange(pool_.proven, true))
@@ -273,7 +273,7 @@
   // Nobody wanted it: a copy had answered before.
   if (pipe_ && pipe_.use_count() == 1) pipe_->abandon();
   if (!last) return true;
-  side_.close(*this, Status::Spoilt);
+  side_.close(*this, Status::Malformed);
   return false;
 }
 
@@ -287,7 +287,7 @@
 
 void ServerConnection::spoilt() {
   ++side_.counts_.garbage;
-  side_.close(*this, Status::Spoilt);
+  side_.close(*this, Status::Malformed);
 }
 
 bool ServerConnection::ended() const {
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -110,7 +110,7 @@
                  name_of(binary ? ServerProtocol::Meta : ServerProtocol::Binary),
                  name_of(pool.protocol));
   }
-  close(c, Status::Spoilt);
+  close(c, Status::Malformed);
 }
 
 void ServerSide::take_list(const HostList& list) {
@@ -182,7 +182,7 @@
     ServerConnection::Entry e = std::move(c.entries_.back());
     c.entries_.pop_back();
     ++counts_.recalled;
-    if (e.live) handler_.on_attempt_end(e.id, e.attempt, Status::Moot, AttemptResult());
+    if (e.live) handler_.on_attempt_end(e.id, e.attempt, Status::NotSent, AttemptResult());
   }
 }
 
@@ -319,7 +319,7 @@
     // that is our own shortage and proves nothing of the server.
     bool own =
         wanted && !at->second->connections.empty() && clock_.now() >= at->second->no_dial_until;
-    handler_.on_attempt_end(id, attempt, own ? Status::Moot : Status::ConnectFailed,
+    handler_.on_attempt_end(id, attempt, own ? Status::NotSent : Status::ConnectFailed,
                             AttemptResult());
     return;
   }
@@ -397,7 +397,7 @@
       if (!e.live || e.id != id || e.attempt != attempt) continue;
       if (k > c.sent_ || (k == c.sent_ && c.partial_ == 0)) {
         c.entries_.erase(c.entries_.begin() + static_cast<std::ptrdiff_t>(k));
-        return Status::Moot;
+        return Status::NotSent;
       }
       e.live = false;
       e.since = clock_.now();
@@ -405,7 +405,7 @@
       // Partly written: finishing it would send the request after its end.
       if (k >= c.sent_) {
         close(c);
-        return Status::Moot;
+        return Status::NotSent;
       }
       // Closing is what tells the server: it may drop what still waits in its queue, where given-up
       // work would keep out others when it jams. The price is a dial, so only as far as answers pay
@@ -471,7 +471,8 @@
     ServerConnection* other = least_loaded(pool, true);
     if (!other) {
       if (e.live)
-        handler_.on_attempt_end(e.id, e.attempt, well ? Status::NoRoom : Status::ConnectFailed,
+        handler_.on_attempt_end(e.id, e.attempt,
+                                well ? Status::ConnectionLimit : Status::ConnectFailed,
                                 AttemptResult());
       continue;
     }
@@ -553,7 +554,7 @@
       Micros pause = c.codec_->ends_early() ? kEndTime : kPauseTime;
       bool broken_off = c.codec_->in_answer() && now - c.used_at_ > pause;
       if (silent || broken_off)
-        ++counts_.gave_up, close(c, broken_off ? Status::Spoilt : Status::Reset);
+        ++counts_.gave_up, close(c, broken_off ? Status::Malformed : Status::Reset);
     }
   }
   forget_gone();
--- a/src/net/server_side.hpp
+++ b/src/net/server_side.hpp
@@ -58,7 +58,8 @@
   /// Sends one attempt. The handler may be told of its end before this returns.
   void send(const std::string& server, RequestId id, int attempt, const Request& request,
             Micros wait) override;
-  /// Gives an attempt up: Moot where nothing of it was sent whole, Cancelled where it may have run.
+  /// Gives an attempt up: NotSent where nothing of it was sent whole, Cancelled where it may have
+  /// run.
   Status cancel(const std::string& server, RequestId id, int attempt) override;
   /// A written attempt is out as long as its connection is open: that is closed, where nobody else
   /// waits for anything on it and answers have paid for another.
--- a/src/rig/model_cache.cpp
+++ b/src/rig/model_cache.cpp
@@ -153,7 +153,7 @@
     char report[96];
     std::snprintf(report, sizeof report, " Lload_share=%.3f,mean_ms=%.2f,x0=%.3f\r\n",
                   a.utilization, a.service_ms, a.hit_share);
-    if (a.status == Status::Full) return std::string("SERVER_ERROR busy\r\n");
+    if (a.status == Status::Rejected) return std::string("SERVER_ERROR busy\r\n");
     if (a.status != Status::Ok) return std::string("SERVER_ERROR failed\r\n");
     if (set) return "HD O" + id + " c" + kReceipt + report;
     std::string value = "price of " + key;
--- a/src/rig/storm.cpp
+++ b/src/rig/storm.cpp
@@ -206,10 +206,11 @@
       }
       std::uint64_t begun = caches_[k]->counts().begun;
       seen.emplace_back(now, begun);
-      while (now - seen.front().first > s.tip_after) seen.pop_front();
+      while (now - seen.front().first > s.overload_time) seen.pop_front();
       double warmth = s.cold_share + (1 - s.cold_share) * static_cast<double>(age) /
                                          static_cast<double>(s.cold_time);
-      double most = s.overload_factor * warm * warmth * static_cast<double>(s.tip_after) / kSecond;
+      double most =
+          s.overload_factor * warm * warmth * static_cast<double>(s.overload_time) / kSecond;
       if (static_cast<double>(begun - seen.front().second) > most) pushed_over_ = caches_[k]->id();
     }
   }
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -248,7 +248,7 @@
   job->router = pick(first.router);
   job->banner = first.banner;
   job->begun = clock_.now();
-  job->aim = type.aim;
+  job->aim = type.latency_objective;
   job->deadline = type.deadline;
   job->request = std::move(first.request);
   // Its own even where two storms run beside each other.
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -176,8 +176,8 @@
     Micros first = 0;  // when its client's first try came, as far as known
     Micros deadline = 0;
     bool closed = false;
-    bool missed = false;             // aside mode: a cache held nothing
-    Status held_for = Status::Moot;  // the outcome with which it waits for on_again()
+    bool missed = false;                // aside mode: a cache held nothing
+    Status held_for = Status::NotSent;  // the outcome with which it waits for on_resume()
     limits::Ask ask;
     std::vector<Attempt> attempts;
   };
@@ -187,10 +187,10 @@
     double seen = 0;
   };
 
-  Impl(const Settings& settings, const limits::RuleMaker& rules)
+  Impl(const Settings& settings, const limits::LimitFactory& rules)
       : set(settings),
         lim(settings, rules),
-        asks(settings.routers, settings.ask_within),
+        asks(settings.routers, settings.max_poll_delay),
         writes(settings.classes),
         company(settings.routers, 0) {}
 
@@ -261,7 +261,7 @@
 
   // ---- segments ----
   bool is_origin(const ServerState& s) const {
-    return set.aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
+    return set.cache_aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
   }
 
   void carve() {
@@ -435,7 +435,7 @@
   }
 
   bool cold_has_room(ServerState& s, double cost) {
-    return !cold(s) || s.slow_start.admits(now, cold_rate(s), set.tip_after, cost);
+    return !cold(s) || s.slow_start.admits(now, cold_rate(s), set.overload_time, cost);
   }
 
   struct Landing {
@@ -458,8 +458,8 @@
   /// Whether another kind of server would serve the request in time where this one would not.
   bool too_slow(const Open& o, const ServerState& s) const {
     double least = kPaceGain / std::max(0.01, slack() * slack());
-    return o.request.work &&
-           paces.gain_elsewhere(s.listed.kind, *o.request.work, set.classes[o.cls].aim) > least;
+    return o.request.work && paces.gain_elsewhere(s.listed.kind, *o.request.work,
+                                                  set.classes[o.cls].latency_objective) > least;
   }
 
   /// Draws from `seed` to the next live segment whose server may take the request.
@@ -655,7 +655,7 @@
   /// Whether the request is turned away at the door.
   bool turn_away(Open& o) {
     const ClassSettings& c = set.classes[o.cls];
-    bool late = now - o.first >= c.aim;  // a further try, by now
+    bool late = now - o.first >= c.latency_objective;  // a further try, by now
     double value = (late ? c.late_worth : c.worth) / (set.worth_by_work ? 1 : cost_of(o));
     // Of requests that can still be in time: against the late ones all the others look alike.
     if (!late) mean_value += (mean_value <= 0 ? 1 : 0.02) * (value - mean_value);
@@ -673,7 +673,7 @@
              .value = mean_value > 0 ? value / mean_value : 1,
              .over_share = over,
              .remaining = o.request.remaining,
-             .aim = c.aim};
+             .aim = c.latency_objective};
     return !lim.admits(now, o.ask);
   }
 
@@ -712,14 +712,14 @@
 
   Effect effect_of(const Open& o) const {
     Effect effect = set.classes[o.cls].effect;
-    return effect == Effect::Keyed && o.request.unkeyed ? Effect::Once : effect;
+    return effect == Effect::Keyed && o.request.lacks_idempotency_key ? Effect::Once : effect;
   }
 
   /// Rules 2 and 3 for one more attempt at `server`.
   bool may_send(const Open& o, int server) const {
     const ServerState& to = servers[server];
     if (!usable(to) || static_cast<int>(o.attempts.size()) >= set.max_attempts) return false;
-    if (!set.second_copies && any_out(o)) return false;
+    if (!set.may_hedge && any_out(o)) return false;
     const ClassSettings& c = set.classes[o.cls];
     if (effect_of(o) == Effect::Repeatable) return true;
     // What earlier tries of the write may have done binds as well.
@@ -775,7 +775,7 @@
     if (may_have_run(o)) note_end(o, false);
     double chance = depth_of(mix(o.request.id));
     Micros wait = lim.come_back(now, chance);
-    if (set.must_ask && !asks.usable())  // nothing is served before the list has come
+    if (set.poll_list && !asks.usable())  // nothing is served before the list has come
       wait = std::clamp(asks.list_in(asking ? 0 : ask_at - now, chance), wait, set.max_retry_after);
     if (may_refuse(o))
       out.push_back(Refuse{o.request.id, wait});
@@ -800,14 +800,15 @@
 
   Micros patience(const Open& o) const {
     const ClassState& c = classes[o.cls];
-    double usual = c.seen > 0 ? c.quantile : static_cast<double>(set.classes[o.cls].aim) / 2;
+    double usual =
+        c.seen > 0 ? c.quantile : static_cast<double>(set.classes[o.cls].latency_objective) / 2;
     return static_cast<Micros>(
         std::max(kPatienceFactor * usual, 4.0 * static_cast<double>(set.tick)));
   }
 
   /// Aside mode: writes, and reads that a cache answered with a miss, go to the origin.
   bool wants_origin(const Open& o) const {
-    return set.aside && !set.origin_kind.empty() && (o.request.write || o.missed);
+    return set.cache_aside && !set.origin_kind.empty() && (o.request.write || o.missed);
   }
 
   /// The origin is never carved: its usable member with the fewest own attempts out.
@@ -865,7 +866,7 @@
                  effect_of(o) != Effect::Once && !set.classes[o.cls].streamed;
     Micros limit = 0;
     if (again && wait * 3 / 2 < left && !is_origin(s)) {  // never a second copy at the origin
-      if (set.second_copies)
+      if (set.may_hedge)
         timer(wait, o.request.id, kCopyTimer);
       else
         limit = wait;
@@ -875,13 +876,14 @@
 
   void go_on(Open& o, Status why) {
     if (o.closed || any_out(o)) return;
-    bool broken = why == Status::ConnectFailed || why == Status::Reset || why == Status::Spoilt ||
-                  why == Status::NoRoom;
+    bool broken = why == Status::ConnectFailed || why == Status::Reset ||
+                  why == Status::Malformed || why == Status::ConnectionLimit;
     const ServerState& last = servers[o.attempts.back().server];
     broken |= outlier(last);  // the fault is that server's alone
-    limits::Cause cause = broken                                       ? limits::Cause::Broken
-                          : why == Status::Full || why == Status::Moot ? limits::Cause::Unseen
-                                                                       : limits::Cause::Load;
+    limits::Cause cause = broken ? limits::Cause::Broken
+                          : why == Status::Rejected || why == Status::NotSent
+                              ? limits::Cause::Unseen
+                              : limits::Cause::Load;
     bool time_left = o.deadline - now > 2 * set.tick;
     if (why == Status::Miss && is_origin(last)) return finish(o);  // nobody else has it either
     if (why == Status::Miss && time_left && send(o)) return;       // no failure: no tokens
@@ -917,7 +919,7 @@
 
   /// A server of a list that nobody has confirmed yet was not there: it may be an old list.
   void doubt_list(int server) {
-    if (!set.must_ask || watching || asking || !asks.doubted(server)) return;
+    if (!set.poll_list || watching || asking || !asks.doubted(server)) return;
     asks.hold(false);
     ask(asks.first(random()));
   }
@@ -976,7 +978,7 @@
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now,
-                   const limits::RuleMaker& rules)
+                   const limits::LimitFactory& rules)
     : impl_(std::make_unique<Impl>(settings, rules)) {
   Impl& m = *impl_;
   limits::check_settings(settings);
@@ -994,7 +996,7 @@
   Impl& m = *impl_;
   m.tick(now);
   m.asks.hold(true);  // until the held list has been seen
-  if (m.set.must_ask) m.ask(m.asks.first(m.random()));
+  if (m.set.poll_list) m.ask(m.asks.first(m.random()));
   return std::move(m.out);
 }
 
@@ -1005,7 +1007,7 @@
     m.list_failed();
     return std::move(m.out);
   }
-  bool held = scope == ListScope::Cached || scope == ListScope::Doubted;
+  bool held = scope == ListScope::Cached || scope == ListScope::Unverified;
   if (!held) m.lim.list_told();
   if (!held && m.asking) m.asking = false, m.watching = true, m.asks.told();
   if (scope != ListScope::Delta) {
@@ -1027,8 +1029,8 @@
   m.asks.hold(std::any_of(m.servers.begin(), m.servers.end(),
                           [&](const Impl::ServerState& s) { return m.usable(s); }));
   bool usable = m.asks.usable();
-  if (scope == ListScope::Doubted) m.asks.hold(false);
-  if (held && m.set.must_ask && !m.asks.usable()) m.ask(m.asks.first(m.random()));
+  if (scope == ListScope::Unverified) m.asks.hold(false);
+  if (held && m.set.poll_list && !m.asks.usable()) m.ask(m.asks.first(m.random()));
   m.asks.hold(usable);
   return std::move(m.out);
 }
@@ -1041,15 +1043,15 @@
   Impl::Open& o = it->second;
   o.request = request;
   for (std::size_t k = 0; k < m.set.classes.size(); ++k)
-    if (m.set.classes[k].name == request.type) o.cls = static_cast<int>(k);
+    if (m.set.classes[k].name == request.class_name) o.cls = static_cast<int>(k);
   o.came = m.now;
   o.deadline = m.now + std::max<Micros>(0, request.remaining);
   o.name = hash_name(request.key);
-  if (request.write && m.effect_of(o) == Effect::Keyed && !request.idempotency.empty()) {
+  if (request.write && m.effect_of(o) == Effect::Keyed && !request.idempotency_key.empty()) {
     m.writes.expire(m.now);
-    o.write = mix(hash_name(request.idempotency) + static_cast<std::uint64_t>(o.cls));
+    o.write = mix(hash_name(request.idempotency_key) + static_cast<std::uint64_t>(o.cls));
     // Its first try may have been at another router, or here before a restart.
-    if (request.repeat) m.writes.presume(m.now, o.write, m.set.classes[o.cls].deadline);
+    if (request.retry) m.writes.presume(m.now, o.write, m.set.classes[o.cls].deadline);
   }
   o.first = m.lim.repeats().take(m.now, m.try_name(o), m.set.classes[o.cls].deadline);
   m.count_arrival(o);
@@ -1066,8 +1068,8 @@
   return std::move(m.out);
 }
 
-Actions Balancer::on_first(Micros now, RequestId id, const std::string& server, int attempt,
-                           Micros) {
+Actions Balancer::on_answer_start(Micros now, RequestId id, const std::string& server, int attempt,
+                                  Micros) {
   Impl& m = *impl_;
   m.tick(now);
   auto it = m.open.find(id);
@@ -1092,49 +1094,51 @@
   if (a.ran != Impl::Ran::Out) return {};
   Impl::ServerState& s = m.servers[a.server];
   --s.in_flight, --m.total_in_flight;
-  bool never = r.status == Status::Full || r.status == Status::ConnectFailed ||
-               r.status == Status::Moot || r.status == Status::Miss || r.status == Status::NoRoom;
+  bool never = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
+               r.status == Status::NotSent || r.status == Status::Miss ||
+               r.status == Status::ConnectionLimit;
   a.ran = never ? Impl::Ran::Never : Impl::Ran::Maybe;
   if (never && o.write) m.writes.never_ran(o.write);
-  bool turned_off = r.status == Status::Full || r.status == Status::NoRoom;
+  bool turned_off = r.status == Status::Rejected || r.status == Status::ConnectionLimit;
   if (turned_off || r.status == Status::Ok) m.saw(a.server, turned_off);
   m.note_report(s, r.report);
   // Fullness and silence are judged by what the server's cores do.
-  if (r.status == Status::Full)
+  if (r.status == Status::Rejected)
     m.note_full(s);
   else if (r.status == Status::Timeout)
     m.note_stall(a, 1);
-  else if (r.status == Status::Cancelled && r.held && m.now - a.sent >= m.set.classes[o.cls].aim)
+  else if (r.status == Status::Cancelled && r.paused &&
+           m.now - a.sent >= m.set.classes[o.cls].latency_objective)
     m.note_given_up(o, a);  // sooner, it is the caller's haste that it tells of
-  else if (r.status != Status::Cancelled && r.status != Status::Moot &&
-           r.status != Status::NoRoom && !a.stalled)
+  else if (r.status != Status::Cancelled && r.status != Status::NotSent &&
+           r.status != Status::ConnectionLimit && !a.stalled)
     m.note_bad(s, r.status != Status::Ok && r.status != Status::Miss, m.own_part(a));
   // Longer than its client waited is no measurement, but a clock that was stepped or stood still.
   Micros latency = std::min(r.latency, std::max<Micros>(o.request.remaining, m.set.tick));
   limits::Evidence load = m.evidence(a, r.status);
   m.lim.ended(m.now, a.sent, static_cast<std::size_t>(a.server), a.fetch, load,
-              m.outlier(s) || s.doubt >= kServerErrs, latency, r.note, o.ask);
+              m.outlier(s) || s.doubt >= kServerErrs, latency, r.cache_result, o.ask);
   // The origin's part of a fetch says nothing of the server's own queue.
-  if (r.status == Status::Full && s.util >= kBusyUtil)
+  if (r.status == Status::Rejected && s.util >= kBusyUtil)
     load = limits::Evidence::Bad;
-  else if (load == limits::Evidence::Bad || r.note > 1 || o.request.write)
+  else if (load == limits::Evidence::Bad || r.cache_result > 1 || o.request.write)
     load = limits::Evidence::None;
   s.window->ended(m.now, a.sent, 1, load, static_cast<double>(latency) / m.cost_of(o),
-                  static_cast<double>(m.set.classes[o.cls].aim) / 2);
+                  static_cast<double>(m.set.classes[o.cls].latency_objective) / 2);
   // An outlier's failures tell nothing of the fleet.
-  if (r.status == Status::Ok || (r.status != Status::NoRoom && !m.outlier(s))) {
+  if (r.status == Status::Ok || (r.status != Status::ConnectionLimit && !m.outlier(s))) {
     follow(m.errors, r.status == Status::Error);
     if (r.status == Status::Ok) follow(m.late, false);
-    follow(m.full, r.status == Status::Full);
-    follow(m.spoilt, r.status == Status::Spoilt);
+    follow(m.full, r.status == Status::Rejected);
+    follow(m.spoilt, r.status == Status::Malformed);
     follow(m.unreachable, r.status == Status::ConnectFailed || r.status == Status::Reset);
   }
   switch (r.status) {
     case Status::Ok:
       m.note_success(s);
       s.crowded *= 1 - kFullEases;
-      if (!m.is_origin(s)) m.note_latency(s, o.cls, latency, true, r.note <= 1);
-      if (!m.is_origin(s) && r.note <= 1 && o.request.work)
+      if (!m.is_origin(s)) m.note_latency(s, o.cls, latency, true, r.cache_result <= 1);
+      if (!m.is_origin(s) && r.cache_result <= 1 && o.request.work)
         m.paces.note(s.listed.kind, *o.request.work, latency);
       break;
     case Status::Miss:
@@ -1153,20 +1157,20 @@
     case Status::Reset:
       m.note_failure(s, 1, m.unreachable);
       break;
-    case Status::Spoilt:  // it does answer: worth less than silence, and little where all do it
+    case Status::Malformed:  // it does answer: worth less than silence, and little where all do it
       m.note_failure(s, 0.5, m.spoilt);
       break;
-    case Status::Full:    // overloaded or at fault, not dead
-    case Status::NoRoom:  // other routers' connections fill it
+    case Status::Rejected:         // overloaded or at fault, not dead
+    case Status::ConnectionLimit:  // other routers' connections fill it
     case Status::Cancelled:
-    case Status::Moot:
+    case Status::NotSent:
       break;
   }
   if (!o.closed && r.status == Status::Ok) m.note_end(o, true);
   if (r.finished) {
     if (!o.closed) m.cancel_rest(o);
     o.closed = true;
-  } else if (r.held) {
+  } else if (r.paused) {
     o.held_for = r.status;
   } else {
     m.go_on(o, r.status);
@@ -1175,7 +1179,7 @@
   return std::move(m.out);
 }
 
-Actions Balancer::on_again(Micros now, RequestId id) {
+Actions Balancer::on_resume(Micros now, RequestId id) {
   Impl& m = *impl_;
   m.tick(now);
   auto it = m.open.find(id);
@@ -1185,7 +1189,7 @@
   return std::move(m.out);
 }
 
-Actions Balancer::on_gone(Micros now, RequestId id) {
+Actions Balancer::on_client_gone(Micros now, RequestId id) {
   Impl& m = *impl_;
   m.tick(now);
   auto it = m.open.find(id);
@@ -1205,7 +1209,7 @@
   if (kind == kAskTimer) {
     if (id != m.ask_token || m.watching) return {};
     m.asking = true;
-    m.out.push_back(Watch{});
+    m.out.push_back(WatchList{});
     m.ask(m.asks.beside(m.random()));  // asks again should no answer come at all
     return std::move(m.out);
   }
@@ -1230,8 +1234,8 @@
   return std::move(m.out);
 }
 
-Actions Balancer::on_probe(Micros now, const std::string& server, Status status, Micros,
-                           const std::vector<double>& report) {
+Actions Balancer::on_probe_result(Micros now, const std::string& server, Status status, Micros,
+                                  const std::vector<double>& report) {
   Impl& m = *impl_;
   m.tick(now);
   auto at = m.index.find(server);
@@ -1248,20 +1252,22 @@
   s.tracked_keys = m.counts[0].size() + m.counts[1].size();
   s.servers = m.index.size();
   s.draws = m.draws;
-  s.turned_away = m.turned_away, s.unsendable = m.unsendable, s.given_up = m.given_up;
-  s.retries = m.retries, s.copies = m.copies, s.trials = m.trials;
-  s.shed_fetched = m.lim.refused(m.now, false), s.shed_held = m.lim.refused(m.now, true);
-  s.fetch_limit = m.lim.fetches().limit(), s.fetches_out = m.lim.fetches().out();
-  s.late = m.late, s.errors = m.errors, s.full = m.full, s.unreachable = m.unreachable;
-  s.spoilt = m.spoilt;
+  s.shed = m.turned_away, s.unroutable = m.unsendable, s.failed_after_attempts = m.given_up;
+  s.retries = m.retries, s.hedges = m.copies, s.trials = m.trials;
+  s.uncached_shed_share = m.lim.refused(m.now, false),
+  s.cached_shed_share = m.lim.refused(m.now, true);
+  s.fetch_limit = m.lim.fetches().limit(), s.fetches_in_flight = m.lim.fetches().out();
+  s.late_rate = m.late, s.error_rate = m.errors, s.rejected_rate = m.full,
+  s.unreachable_rate = m.unreachable;
+  s.malformed_rate = m.spoilt;
   s.utilization = m.util_mean;
-  s.live = m.live_sum, s.near_pull = m.near_pull;
-  s.came_back = static_cast<int>(m.company.verdict());
-  s.writes_known = m.writes.kept(), s.writes_forgotten = m.writes.forgotten();
+  s.live_servers = m.live_sum, s.zone_affinity = m.near_pull;
+  s.restart_verdict = static_cast<int>(m.company.verdict());
+  s.tracked_writes = m.writes.kept(), s.evicted_writes = m.writes.forgotten();
   return s;
 }
 
-std::string Balancer::home(const std::string& key) const {
+std::string Balancer::home_server(const std::string& key) const {
   std::uint64_t seed = hash_name(key);
   int left = kMaxDraws;
   int i = impl_->next_live(seed, left);
--- a/src/tier/stage.cpp
+++ b/src/tier/stage.cpp
@@ -59,8 +59,8 @@
 Figures Stage::figures() const {
   const robinseam::Settings& s = day_.settings;
   Figures f;
-  f.read_aim = s.classes[0].aim, f.write_aim = s.classes[1].aim;
-  f.drain_grace = s.drain_grace, f.tip_after = s.tip_after;
+  f.read_aim = s.classes[0].latency_objective, f.write_aim = s.classes[1].latency_objective;
+  f.drain_grace = s.drain_grace, f.tip_after = s.overload_time;
   f.cold_share = s.cold_share, f.overload_factor = s.overload_factor;
   return f;
 }
@@ -79,8 +79,8 @@
   if (s_.tries == 1) t.try_share = 1;
   day_.routers = s_.routers;
   robinseam::Settings& settings = day_.settings;
-  settings.must_ask = !s_.pushed;
-  settings.ask_within = s_.ask_within;
+  settings.poll_list = !s_.pushed;
+  settings.max_poll_delay = s_.ask_within;
   settings.cold_time = s_.cold_time;
   settings.classes[1].key_ttl = s_.key_ttl, settings.classes[1].group = s_.group;
   double capacity =
--- a/tests/checker.hpp
+++ b/tests/checker.hpp
@@ -36,7 +36,7 @@
     Owed o;
     o.deadline = now + r.remaining;
     for (const ClassSettings& c : set_.classes)
-      if (c.name == r.type) o.cls = c;
+      if (c.name == r.class_name) o.cls = c;
     owed_[r.id] = o;
   }
 
@@ -44,8 +44,8 @@
     Owed& o = owed_[r.id];
     Try& t = o.tries[r.attempt];
     t.out = false;
-    t.never = r.status == Status::Full || r.status == Status::ConnectFailed ||
-              r.status == Status::Moot || r.status == Status::Miss;
+    t.never = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
+              r.status == Status::NotSent || r.status == Status::Miss;
     if (r.finished) o.ended = true;
   }
 
@@ -107,7 +107,7 @@
     Known& to = servers_[s.server];
     if (o.ended) broke("1: sent after the end", s.id);
     for (const Try& t : o.tries) {
-      if (t.out && !set_.second_copies) broke("2: two copies out", s.id);
+      if (t.out && !set_.may_hedge) broke("2: two copies out", s.id);
       if (t.never || o.cls.effect == Effect::Repeatable) continue;
       const Server& from = servers_[t.server].entry;
       bool same = o.cls.group == Group::All ||
@@ -126,9 +126,10 @@
     if (to.entry.up_since > 0 && age < set_.cold_time) {
       to.cold_sends.push_back(now);
       double count = 0;
-      for (Micros at : to.cold_sends) count += at > now - set_.tip_after && at >= to.entry.up_since;
+      for (Micros at : to.cold_sends)
+        count += at > now - set_.overload_time && at >= to.entry.up_since;
       double part = set_.cold_share + (1 - set_.cold_share) * double(age) / double(set_.cold_time);
-      double window = double(set_.tip_after) / 1e6;
+      double window = double(set_.overload_time) / 1e6;
       if (count > set_.overload_factor * part * capacity_ * window + 2)
         broke("4: a cold server was pushed over by", s.id);
     }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(c.settings.report_fields.size(), 3u);
   EXPECT_EQ(c.settings.zones, std::vector<std::string>{"a"});
   EXPECT_EQ(c.settings.drain_grace, 2'500'000);
-  EXPECT_TRUE(c.settings.must_ask);
+  EXPECT_TRUE(c.settings.poll_list);
   EXPECT_EQ(c.links.streams, 32);
   EXPECT_EQ(c.links.dial_timeout, 75'000);
 }
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -244,7 +244,7 @@
 // Two may not be out at once, and the first can't be ended yet: nothing follows until it can.
 TEST_F(CoreTest, WithoutSecondCopiesNoAttemptFollowsOneThatIsStillOut) {
   robinseam::Settings settings = basic_settings();
-  settings.second_copies = false;
+  settings.may_hedge = false;
   use(settings);
   Sink sink;
   ends_ = std::nullopt;
--- a/tests/drive_test.cpp
+++ b/tests/drive_test.cpp
@@ -27,10 +27,10 @@
     const char* zones[] = {"a", "b", "c"};
     for (std::size_t k = 0; k < list.size(); ++k) list[k].zone = zones[k % 3], list[k].cell = k / 3;
     set.zones = {"a", "b", "c"};
-    set.second_copies = pick(2);
+    set.may_hedge = pick(2);
     set.cross_zone_charge = 0.1 * pick(2);
     set.report_fields = {ReportField::Utilization, ReportField::Queue};
-    set.must_ask = pick(2);
+    set.poll_list = pick(2);
     set.classes.resize(1);
     for (auto [name, effect, group] : {std::tuple{"keyed", Effect::Keyed, Group::All},
                                        {"zoned", Effect::Keyed, Group::Zone},
@@ -66,7 +66,7 @@
           e.outcome.latency = after;
           due.emplace(now + after, e);
         } else if (const Timer* t = std::get_if<Timer>(&a)) {
-          due.emplace(now + t->after, Event{1, {}, t->token});
+          due.emplace(now + t->delay, Event{1, {}, t->token});
         } else if (const Refuse* r = std::get_if<Refuse>(&a)) {
           ended[r->id] = true, ++answers;
         } else if (const Fail* f = std::get_if<Fail>(&a)) {
@@ -131,7 +131,7 @@
           if (id > 1 && !ended[id - 1]) {
             ended[id - 1] = true;
             checker.gone(id - 1);
-            carry_out(b.on_gone(now, id - 1));
+            carry_out(b.on_client_gone(now, id - 1));
           }
           break;
         default:
@@ -139,7 +139,7 @@
       }
       Request r =
           read_of(id, "k" + std::to_string(pick(1 + pick(300))), 50 * kMs + pick(500) * kMs);
-      r.type = set.classes[pick(set.classes.size())].name;
+      r.class_name = set.classes[pick(set.classes.size())].name;
       checker.request(now, r);
       carry_out(b.on_request(now, r));
     }
@@ -149,11 +149,11 @@
   static Outcome ended_outcome(const Send& s, int attempt, std::uint64_t dice) {
     Status status = dice < 84   ? Status::Ok
                     : dice < 87 ? Status::Error
-                    : dice < 90 ? Status::Full
+                    : dice < 90 ? Status::Rejected
                     : dice < 93 ? Status::Timeout
                     : dice < 95 ? Status::ConnectFailed
                     : dice < 98 ? Status::Reset
-                                : Status::Moot;
+                                : Status::NotSent;
     Outcome o = ended(s.id, s.server, status, attempt);
     o.report = {static_cast<double>(dice) / 100, static_cast<double>(dice % 7)};
     return o;
--- a/tests/extproc/processor_test.cpp
+++ b/tests/extproc/processor_test.cpp
@@ -21,7 +21,7 @@
  protected:
   ProcessorTest() {
     settings_ = robinseam::test::basic_settings();
-    settings_.second_copies = false;
+    settings_.may_hedge = false;
     settings_.max_retry_after = kSecond;
     settings_.report_fields = {robinseam::ReportField::Utilization};
     settings_.classes.push_back(settings_.classes[0]);
@@ -218,7 +218,7 @@
   StreamId s = ask("r1");
   report(s, {{":status", "200"}}, "at-somewhere-else");
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Ok)], 0u);
-  EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Spoilt)], 1u);
+  EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Malformed)], 1u);
   EXPECT_EQ(processor_->counts().other_endpoint, 1u);
 }
 
@@ -297,7 +297,7 @@
 // Without copies each attempt has a patience, 8 ms here, that a caller knows nothing of: 200 calls
 // left after a burst of a slow caller were 250 time-outs, and a quarter of 2,000 good ones refused.
 TEST_P(Abandoned, CallsWithoutAReportShutNothing) {
-  settings_.second_copies = GetParam();
+  settings_.may_hedge = GetParam();
   start(4, 1000);
   for (int k = 0; k < 50; ++k) {  // servers known to be so quick that a copy is due in a moment
     StreamId s = ask("quick" + std::to_string(k), {}, "key" + std::to_string(k));
--- a/tests/extproc/seam_test.cpp
+++ b/tests/extproc/seam_test.cpp
@@ -31,7 +31,7 @@
   // The middle third is a bad time: one server fails all, another is full half of the time.
   bool bad = number > kRequests / 3 && number < 2 * kRequests / 3;
   if (bad && server == "s-1") return {Status::Error, after};
-  if (bad && server == "s-2" && h % 2) return {Status::Full, after};
+  if (bad && server == "s-2" && h % 2) return {Status::Rejected, after};
   if (h % 97 == 0) return {Status::Error, after};
   if (h % 101 == 0) return {Status::Reset, after};
   return {Status::Ok, after};
@@ -176,9 +176,9 @@
         pb::ProcessingRequest report;
         auto& headers = *report.mutable_response_headers();
         put(headers, ":status",
-            fate.status == Status::Ok     ? "200"
-            : fate.status == Status::Full ? "429"
-                                          : "500");
+            fate.status == Status::Ok         ? "200"
+            : fate.status == Status::Rejected ? "429"
+                                              : "500");
         processor.on_message(id, report.SerializeAsString());
         processor.on_half_close(id);
       }
@@ -197,7 +197,7 @@
 
 TEST(ExtProcSeam, TenThousandDecisionsAreTheRoutersOwn) {
   robinseam::Settings settings = robinseam::test::basic_settings();
-  settings.second_copies = false;
+  settings.may_hedge = false;
   settings.max_retry_after = kSecond;
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].name = "put";
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -103,7 +103,7 @@
     EXPECT_EQ(dials.ends.count(behind), 0u) << c.what;
     dials.side.take_list(parse_host_list(list_json(2, c.whole, c.hosts(server.address()))));
     EXPECT_EQ(dials.ends.count(behind), 1u) << c.what;
-    EXPECT_EQ(dials.ends[behind], Status::Moot) << c.what;
+    EXPECT_EQ(dials.ends[behind], Status::NotSent) << c.what;
     EXPECT_EQ(dials.ends.count(100), 0u) << c.what;  // its first bytes were before the word
     EXPECT_EQ(dials.side.counts().recalled, 1u) << c.what;
   }
@@ -143,9 +143,9 @@
     Status status;
     std::uint64_t no_room;
   };
-  const Case cases[] = {{"a full table", false, true, Status::NoRoom, 1},
-                        {"a full queue", false, false, Status::Full, 0},
-                        {"a drain", true, true, Status::Full, 0}};
+  const Case cases[] = {{"a full table", false, true, Status::ConnectionLimit, 1},
+                        {"a full queue", false, false, Status::Rejected, 0},
+                        {"a drain", true, true, Status::Rejected, 0}};
   for (const Case& c : cases) {
     Peer server;
     Dials dials(server);
@@ -184,7 +184,7 @@
     server.close();
     dials.clock.at += silent;
     RequestId refused = dials.send();
-    EXPECT_EQ(dials.end_of(refused), silent ? Status::ConnectFailed : Status::NoRoom);
+    EXPECT_EQ(dials.end_of(refused), silent ? Status::ConnectFailed : Status::ConnectionLimit);
     EXPECT_EQ(dials.side.counts().no_room, silent ? 0u : 1u);
   }
 }
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -494,7 +494,7 @@
   RequestId gone = servers.send();
   servers.side.take_list(
       parse_host_list(list_json(2, false, {host_json("s-1", server.peer.address(), "leaving")})));
-  EXPECT_EQ(servers.end_of(gone), Status::Moot);
+  EXPECT_EQ(servers.end_of(gone), Status::NotSent);
   Link link;
   std::thread late([&] { link = server.let_in(); });
   servers.run_until([&] { return servers.side.connections() == 0; });
@@ -584,10 +584,10 @@
     Status status;
   };
   const Case cases[] = {
-      {"a write, right behind", true, true, 0, Status::Spoilt},
-      {"a write, some milliseconds late", true, false, 9 * kMillisecond, Status::Spoilt},
-      {"a read, which may run twice", false, false, 0, Status::Full},
-      {"a refusal long after", true, false, kSecond, Status::Full}};
+      {"a write, right behind", true, true, 0, Status::Malformed},
+      {"a write, some milliseconds late", true, false, 9 * kMillisecond, Status::Malformed},
+      {"a read, which may run twice", false, false, 0, Status::Rejected},
+      {"a refusal long after", true, false, kSecond, Status::Rejected}};
   for (const Case& c : cases) {
     Peer server;
     Servers servers(server.address());
@@ -602,7 +602,7 @@
       link.write("SERVER_ERROR busy\r\nSERVER_ERROR busy\r\n");
     } else {
       link.write("SERVER_ERROR busy\r\n");
-      EXPECT_EQ(servers.end_of(first), Status::Full) << c.what;
+      EXPECT_EQ(servers.end_of(first), Status::Rejected) << c.what;
       servers.clock.at += c.later;
       second = servers.send(c.write);
       servers.written(2);
@@ -633,7 +633,7 @@
     RequestId second = servers.send();
     servers.written(2);
     link.write(answer);
-    EXPECT_EQ(servers.end_of(second), Status::Spoilt);
+    EXPECT_EQ(servers.end_of(second), Status::Malformed);
   }
 }
 
--- a/tests/recovery/return_test.cpp
+++ b/tests/recovery/return_test.cpp
@@ -53,7 +53,7 @@
   bool down = c.discovery == Discovery::Down;
   DayPlan plan = usual_day(0.3);
   plan.routers = kRouters;
-  plan.settings.must_ask = true;
+  plan.settings.poll_list = true;
   plan.settings.max_retry_after = kSecond;
   plan.tills.honours_wait = true;
   plan.discovery.work = c.discovery == Discovery::Overbooked ? 2 * kCall : kCall / 2;
--- a/tests/recovery/slow_start_test.cpp
+++ b/tests/recovery/slow_start_test.cpp
@@ -44,12 +44,12 @@
 Settings settings(int routers) {
   Settings s;
   ClassSettings read;
-  read.name = "read", read.aim = 150 * kMs, read.deadline = 600 * kMs;
+  read.name = "read", read.latency_objective = 150 * kMs, read.deadline = 600 * kMs;
   s.classes = {read};
   s.tenants = {{"all", 1, kRate}};
   s.routers = routers;
   s.max_attempts = 5, s.max_retry_after = kS, s.tick = 2 * kMs;
-  s.cold_time = 8 * kS, s.cold_share = 0.3, s.overload_factor = 4, s.tip_after = 1500 * kMs;
+  s.cold_time = 8 * kS, s.cold_share = 0.3, s.overload_factor = 4, s.overload_time = 1500 * kMs;
   return s;
 }
 
@@ -104,7 +104,7 @@
         for (std::size_t r = 0; r < tier.size(); ++r) start(r, now), answers.clear();
       else
         tell(now, ListScope::Full, list);
-      while (tier[0]->home(hot_key) != list[0].id) hot_key += '+';  // it has to bear it
+      while (tier[0]->home_server(hot_key) != list[0].id) hot_key += '+';  // it has to bear it
     }
     if (trouble.failover && !failed && now >= kStarts + kS) {
       failed = true;
@@ -121,7 +121,7 @@
       tier[a.router]->on_outcome(a.at, a.outcome);
     }
     Request r;
-    r.id = ++id, r.type = "read", r.tenant = "all", r.remaining = 600 * kMs;
+    r.id = ++id, r.class_name = "read", r.tenant = "all", r.remaining = 600 * kMs;
     bool hot = trouble.hot && now >= kStarts + trouble.after && chance() < 0.33;
     // Zipf-like, with a long tail.
     r.key = hot ? hot_key : "k" + std::to_string(static_cast<int>(std::pow(2000, chance())));
@@ -139,12 +139,12 @@
       if (send->server != list[0].id || now < kStarts || now >= kStarts + set.cold_time) continue;
       at_cold.emplace_back(now, work);
       in_window += work;
-      for (; at_cold.front().first < now - set.tip_after; at_cold.pop_front())
+      for (; at_cold.front().first < now - set.overload_time; at_cold.pop_front())
         in_window -= at_cold.front().second;
       // What it can do at the window's beginning, when it can least.
       double age = static_cast<double>(std::max(at_cold.front().first, kStarts) - kStarts);
       double warmth = set.cold_share + (1 - set.cold_share) * age / set.cold_time;
-      double n = set.overload_factor * warmth * kRate / kLoad / kServers * set.tip_after / kS;
+      double n = set.overload_factor * warmth * kRate / kLoad / kServers * set.overload_time / kS;
       double over = in_window - (n + 2 * std::sqrt(n) + 2);
       if (f.budget == 0 || over > f.worst) f.worst = over, f.budget = n, f.sent = in_window;
     }
--- a/tests/recovery/start_test.cpp
+++ b/tests/recovery/start_test.cpp
@@ -14,7 +14,7 @@
 Settings settings(int routers) {
   Settings s;
   ClassSettings read;
-  read.name = "read", read.aim = 150 * kMs, read.deadline = 600 * kMs;
+  read.name = "read", read.latency_objective = 150 * kMs, read.deadline = 600 * kMs;
   s.classes = {read};
   s.tenants = {{"all", 1, 2.0 * routers}};
   s.routers = routers;
@@ -58,7 +58,7 @@
   for (int k = 0; k < 20; ++k) {
     Micros now = 100 * kS + k * 300 * kMs;
     Request r;
-    r.id = static_cast<RequestId>(k + 1), r.type = "read", r.tenant = "all";
+    r.id = static_cast<RequestId>(k + 1), r.class_name = "read", r.tenant = "all";
     r.key = "k" + std::to_string(k), r.remaining = 600 * kMs;
     for (const Action& a : b.on_request(now, r)) {
       const auto* send = std::get_if<Send>(&a);
@@ -78,18 +78,18 @@
   for (std::uint64_t seed = 1; seed <= 50; ++seed)
     for (bool doubted : {false, true}) {
       Settings s = settings(14);
-      s.must_ask = true, s.ask_within = 10 * kS;
+      s.poll_list = true, s.max_poll_delay = 10 * kS;
       Balancer b(s, seed, 100 * kS);
       b.start(100 * kS);
       Server one;
       one.id = "s";
       Micros after = 0;
       for (const Action& a :
-           b.on_list(100 * kS, doubted ? ListScope::Doubted : ListScope::Cached, {one}))
-        if (const auto* timer = std::get_if<Timer>(&a)) after = timer->after;
+           b.on_list(100 * kS, doubted ? ListScope::Unverified : ListScope::Cached, {one}))
+        if (const auto* timer = std::get_if<Timer>(&a)) after = timer->delay;
       latest[doubted] = std::max(latest[doubted], after);
       Request r;
-      r.id = 1, r.type = "read", r.tenant = "all", r.key = "k", r.remaining = 600 * kMs;
+      r.id = 1, r.class_name = "read", r.tenant = "all", r.key = "k", r.remaining = 600 * kMs;
       bool sent = false;
       for (const Action& a : b.on_request(100 * kS, r)) sent |= std::holds_alternative<Send>(a);
       EXPECT_TRUE(sent);
--- a/tests/recovery/writes_test.cpp
+++ b/tests/recovery/writes_test.cpp
@@ -13,7 +13,7 @@
 Settings settings(Group group, Micros ttl) {
   Settings s;
   ClassSettings write;
-  write.name = "write", write.aim = 250 * kMs, write.deadline = kS;
+  write.name = "write", write.latency_objective = 250 * kMs, write.deadline = kS;
   write.effect = Effect::Keyed, write.group = group, write.key_ttl = ttl;
   s.classes = {write};
   s.max_attempts = 5, s.tick = 2 * kMs;
@@ -36,8 +36,8 @@
   }
   End ask(Micros now, const std::string& key, bool repeat) {
     Request r;
-    r.id = ++id, r.type = "write", r.key = "k" + std::to_string(id), r.remaining = 400 * kMs;
-    r.write = true, r.repeat = repeat, r.idempotency = key;
+    r.id = ++id, r.class_name = "write", r.key = "k" + std::to_string(id), r.remaining = 400 * kMs;
+    r.write = true, r.retry = repeat, r.idempotency_key = key;
     for (const Action& a : b.on_request(now, r)) {
       if (const auto* send = std::get_if<Send>(&a)) {
         server = send->server;
@@ -84,7 +84,7 @@
     }
     router.server.clear();
     ASSERT_EQ(router.ask(kS + c.after, key, c.marked), c.repeat) << round;
-    bool bound = c.repeat == End::Sent && c.first_here && c.first_ends != Status::Full;
+    bool bound = c.repeat == End::Sent && c.first_here && c.first_ends != Status::Rejected;
     if (bound && c.group == Group::Zone) {
       EXPECT_EQ(router.server == "c", first == "c");
     }
@@ -104,7 +104,7 @@
                                          Case{"in_its_time", Group::All, 400 * kMs, true,
                                               Status::Timeout, true, 300 * kMs, End::Sent},
                                          Case{"never_ran_so_free", Group::All, 400 * kMs, true,
-                                              Status::Full, false, 500 * kMs, End::Sent},
+                                              Status::Rejected, false, 500 * kMs, End::Sent},
                                          Case{"served_and_repeated_late", Group::All, 400 * kMs,
                                               true, Status::Ok, false, 500 * kMs, End::Failed},
                                          Case{"in_the_zone", Group::Zone, 5 * kS, true,
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -756,9 +756,9 @@
     Request r;
     r.key = "key", r.id = "S" + std::to_string(++asked), r.type = "read", r.tenant = "acme";
     std::uint64_t written = side.counts().written;
-    int unsent = ends[Status::Moot];
+    int unsent = ends[Status::NotSent];
     side.send("s-1", asked, 0, r, kSecond);
-    while (side.counts().written == written && ends[Status::Moot] == unsent) {
+    while (side.counts().written == written && ends[Status::NotSent] == unsent) {
       side.flush();
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
@@ -780,7 +780,7 @@
   // One whole pool is closed and dialled again, the next is kept; what finds no place is not sent.
   EXPECT_EQ(storm.side.counts().dials, 2 * pool);
   EXPECT_EQ(storm.side.connections(), pool);
-  EXPECT_EQ(storm.ends[Status::Moot], 100 - static_cast<int>(2 * pool));
+  EXPECT_EQ(storm.ends[Status::NotSent], 100 - static_cast<int>(2 * pool));
   EXPECT_EQ(storm.ends[Status::ConnectFailed], 0) << "that would be held against the server";
   // Its answers come after all: the connections are used again.
   std::vector<Link> links;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -14,7 +14,8 @@
 
 std::map<std::string, std::string> homes(const Balancer& b, int keys) {
   std::map<std::string, std::string> at;
-  for (int k = 0; k < keys; ++k) at["k" + std::to_string(k)] = b.home("k" + std::to_string(k));
+  for (int k = 0; k < keys; ++k)
+    at["k" + std::to_string(k)] = b.home_server("k" + std::to_string(k));
   return at;
 }
 
@@ -117,7 +118,7 @@
   for (RequestId id = 0; id < 200; ++id) {
     std::string server = serve(b, Micros(id) * 10 * kMs, id, "hot");
     used.insert(server);
-    at_home += server == b.home("hot");
+    at_home += server == b.home_server("hot");
   }
   EXPECT_GE(used.size(), 8u);  // the hot key is spread
   EXPECT_GE(at_home, 5);       // and comes back to its first server each window
@@ -129,7 +130,7 @@
   int away = 0;
   for (RequestId id = 0; id < 3000; ++id) {
     std::string key = "k" + std::to_string(id % 600);
-    away += serve(b, Micros(id) * 10 * kMs, id, key) != b.home(key);
+    away += serve(b, Micros(id) * 10 * kMs, id, key) != b.home_server(key);
   }
   EXPECT_LT(away, 60);
 }
@@ -140,7 +141,7 @@
   s.report_fields = {ReportField::Utilization};
   Balancer b(s, 7, 0);
   b.on_list(0, ListScope::Full, fleet(40));
-  std::string home = b.home("k1");
+  std::string home = b.home_server("k1");
   Micros now = 0;
   auto away = [&](double load) {
     int count = 0;
@@ -171,7 +172,7 @@
   for (; id < 200; ++id, now += 10 * kMs) {
     std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
     std::string next = sent_to(
-        b.on_outcome(now, ended(id, server, server == list[0].id ? Status::Full : Status::Ok)));
+        b.on_outcome(now, ended(id, server, server == list[0].id ? Status::Rejected : Status::Ok)));
     if (!next.empty()) b.on_outcome(now, ended(id, next, Status::Ok, 1));
   }
   double part = b.live_fraction(list[0].id);
@@ -188,7 +189,7 @@
   b.on_list(0, ListScope::Full, fleet(12));
   for (RequestId id = 0; id < 2000; ++id) {
     std::string key = "k" + std::to_string(id / 2);
-    EXPECT_EQ(serve(b, Micros(id) * 10 * kMs, id, key), b.home(key));
+    EXPECT_EQ(serve(b, Micros(id) * 10 * kMs, id, key), b.home_server(key));
   }
 }
 
@@ -236,8 +237,8 @@
     }
     b.on_list(1, ListScope::Full, list);
     serve(b, kMs, 1, "k");
-    EXPECT_GE(b.stats().near_pull, c.least) << c.cold;
-    EXPECT_LE(b.stats().near_pull, c.most) << c.cold;
+    EXPECT_GE(b.stats().zone_affinity, c.least) << c.cold;
+    EXPECT_LE(b.stats().zone_affinity, c.most) << c.cold;
   }
 }
 
@@ -410,7 +411,7 @@
       // Two in a row of each eight: a pair of resets would have taken it out.
       bool spoilt = server == bad && (always || seen % 8 < 2);
       std::string other =
-          sent_to(b.on_outcome(now, ended(id, server, spoilt ? Status::Spoilt : Status::Ok)));
+          sent_to(b.on_outcome(now, ended(id, server, spoilt ? Status::Malformed : Status::Ok)));
       if (!other.empty()) b.on_outcome(now, ended(id, other, Status::Ok, 1));
       out += b.live_fraction(bad) < 0.1;
     }
@@ -448,7 +449,7 @@
     further += attempt > 0;
     auto [status, after] = end_(key);
     Outcome o = ended(id, server, status, attempt, after);
-    o.note = status != Status::Ok ? 0 : key[0] == 'h' ? 1 : 2;  // 'h': held
+    o.cache_result = status != Status::Ok ? 0 : key[0] == 'h' ? 1 : 2;  // 'h': held
     due_.emplace(now + after, std::make_pair(o, key));
   }
   void run(Micros now) {
@@ -486,7 +487,7 @@
 // Protects against: servers that fail most requests and serve the rest, in whatever form. A success
 // cleared all doubt of them, and their failures shut the doors over servers with time to spare.
 TEST(Health, ServersThatFailMoreThanOthersGiveUpTheirKeysShutNoDoorAndComeBack) {
-  for (Status status : {Status::Full, Status::Error, Status::Timeout, Status::Reset}) {
+  for (Status status : {Status::Rejected, Status::Error, Status::Timeout, Status::Reset}) {
     Settings s = basic_settings();
     s.report_fields = {ReportField::Utilization};
     Balancer b(s, 7, 0);
@@ -508,7 +509,7 @@
 // Protects against: keys that leave a sound server, and retries that are denied, because other
 // routers' idle connections fill its table.
 TEST(Health, AServerWithoutRoomForAConnectionIsNotHeldToBeAtFault) {
-  for (Status status : {Status::NoRoom, Status::Full, Status::ConnectFailed}) {
+  for (Status status : {Status::ConnectionLimit, Status::Rejected, Status::ConnectFailed}) {
     Balancer b(basic_settings(), 1, 0);
     auto list = fleet(6);
     b.on_list(0, ListScope::Full, list);
@@ -525,7 +526,7 @@
         server = sent_to(b.on_outcome(now, o));
       }
     }
-    bool no_room = status == Status::NoRoom;
+    bool no_room = status == Status::ConnectionLimit;
     EXPECT_EQ(b.live_fraction(list[0].id) >= 0.99, no_room) << static_cast<int>(status);
     EXPECT_GE(served, asked - (no_room ? 0 : asked / 4)) << static_cast<int>(status);
   }
@@ -542,7 +543,7 @@
     std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id % 250))));
     for (int attempt = 0; !server.empty(); ++attempt) {
       bool full = ++asked[server] % 20 == 0;
-      Outcome end = ended(id, server, full ? Status::Full : Status::Ok, attempt);
+      Outcome end = ended(id, server, full ? Status::Rejected : Status::Ok, attempt);
       end.report = {0.8};
       server = sent_to(b.on_outcome(now, end));
     }
@@ -565,13 +566,14 @@
   Settings s = basic_settings();
   s.max_retry_after = kS;
   Balancer b(s, 7, 0);
-  EXPECT_LE(all<Refuse>(b.on_request(0, read_of(1, "k"))).at(0).wait, 50 * kMs);  // nothing shut
+  EXPECT_LE(all<Refuse>(b.on_request(0, read_of(1, "k"))).at(0).retry_after,
+            50 * kMs);  // nothing shut
   b.on_list(0, ListScope::Full, fleet(6));
   std::set<Micros> waits;
   for (RequestId id = 2; id < 1200; ++id)  // never answered
     if (auto no = all<Refuse>(b.on_request(Micros(id) * kMs, read_of(id, std::to_string(id))));
         !no.empty() && id > 600)
-      waits.insert(no[0].wait);
+      waits.insert(no[0].retry_after);
   ASSERT_GT(waits.size(), 200u);
   EXPECT_GT(*waits.begin(), 100 * kMs);
   EXPECT_GT(*waits.rbegin(), *waits.begin() * 3 / 2);
@@ -658,7 +660,7 @@
   Micros last = 0;
   std::uint64_t token = 0;
   for (const Timer& t : all<Timer>(a))
-    if (t.after > last) last = t.after, token = t.token;
+    if (t.delay > last) last = t.delay, token = t.token;
   EXPECT_LT(last, 100 * kMs);
   EXPECT_GT(last, 80 * kMs);
   Actions end = b.on_timer(last, token);
@@ -722,7 +724,7 @@
   Balancer b(with_effect(Effect::Once, Group::All), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
   std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  std::string next = sent_to(b.on_outcome(1000, ended(1, server, Status::Full)));
+  std::string next = sent_to(b.on_outcome(1000, ended(1, server, Status::Rejected)));
   EXPECT_NE(next, "");
   EXPECT_NE(next, server);
 }
@@ -782,9 +784,9 @@
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
   EXPECT_TRUE(b.on_outcome(0, ended(9, "10.0.0.1:80", Status::Ok)).empty());
-  EXPECT_TRUE(b.on_gone(0, 9).empty());
+  EXPECT_TRUE(b.on_client_gone(0, 9).empty());
   EXPECT_TRUE(b.on_timer(0, 12345).empty());
-  EXPECT_TRUE(b.on_probe(0, "nobody", Status::Ok, 0, {1}).empty());
+  EXPECT_TRUE(b.on_probe_result(0, "nobody", Status::Ok, 0, {1}).empty());
   std::string server = sent_to(b.on_request(0, read_of(1, "k")));
   EXPECT_TRUE(b.on_request(0, read_of(1, "k")).empty());
   EXPECT_TRUE(b.on_outcome(0, ended(1, server, Status::Ok, 7)).empty());
@@ -824,15 +826,15 @@
 
 TEST(List, RoutersDoNotAskTogetherAndAskAgainAfterFailure) {
   Settings s = basic_settings();
-  s.must_ask = true;
+  s.poll_list = true;
   s.routers = 300;
   std::set<Micros> starts;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     Balancer b(s, seed, 0);
     auto timers = all<Timer>(b.start(0));
     ASSERT_EQ(timers.size(), 1u);
-    EXPECT_LT(timers[0].after, s.ask_within / 2);
-    starts.insert(timers[0].after / (100 * kMs));
+    EXPECT_LT(timers[0].delay, s.max_poll_delay / 2);
+    starts.insert(timers[0].delay / (100 * kMs));
   }
   EXPECT_GE(starts.size(), 10u);
 
@@ -840,18 +842,19 @@
   Timer t = all<Timer>(b.start(0))[0];
   Micros now = 0;
   for (int k = 0; k < 10; ++k) {
-    now += t.after;
+    now += t.delay;
     Actions a = b.on_timer(now, t.token);
-    EXPECT_EQ(all<Watch>(a).size(), 1u);
+    EXPECT_EQ(all<WatchList>(a).size(), 1u);
     auto again = all<Timer>(b.on_list(now, ListScope::Failed, {}));
     ASSERT_EQ(again.size(), 1u);
     t = again[0];
-    EXPECT_LE(t.after, s.ask_within);
+    EXPECT_LE(t.delay, s.max_poll_delay);
   }
-  now += t.after;
+  now += t.delay;
   Actions a = b.on_timer(now, t.token);
   b.on_list(now, ListScope::Full, fleet(3));
-  EXPECT_TRUE(b.on_timer(now + s.ask_within, all<Timer>(a)[0].token).empty());  // watching: silent
+  EXPECT_TRUE(
+      b.on_timer(now + s.max_poll_delay, all<Timer>(a)[0].token).empty());  // watching: silent
 }
 
 // ---- settings ----
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -14,25 +14,25 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 150 * kMs;
+  read.latency_objective = 150 * kMs;
   read.deadline = 600 * kMs;
   s.classes.push_back(read);
   s.zone = "a";
   s.zones = {"a"};
   s.max_attempts = 4;
   s.may_cancel = true;
-  s.second_copies = true;
+  s.may_hedge = true;
   s.tick = 1 * kMs;
   s.drain_grace = 500 * kMs;
   s.cold_share = 0.3;
   s.cold_time = 8 * kS;
-  s.ask_within = 10 * kS;
+  s.max_poll_delay = 10 * kS;
   return s;
 }
 
 inline Settings aside_settings() {
   Settings s = basic_settings();
-  s.aside = true;
+  s.cache_aside = true;
   s.origin_kind = "ledger";
   return s;
 }
@@ -53,7 +53,7 @@
 inline Request read_of(RequestId id, const std::string& key, Micros remaining = 500 * kMs) {
   Request r;
   r.id = id;
-  r.type = "read";
+  r.class_name = "read";
   r.key = key;
   r.remaining = remaining;
   return r;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -43,9 +43,9 @@
   ASSERT_EQ(s.report_fields.size(), 3u);
   EXPECT_EQ(s.report_fields[1], ReportField::Unknown);
   EXPECT_EQ(s.max_attempts, 5);
-  EXPECT_TRUE(s.second_copies);
-  EXPECT_FALSE(s.must_ask);
-  EXPECT_TRUE(s.aside);
+  EXPECT_TRUE(s.may_hedge);
+  EXPECT_FALSE(s.poll_list);
+  EXPECT_TRUE(s.cache_aside);
   EXPECT_EQ(s.origin_kind, "ledger");
   EXPECT_EQ(s.tenants[0].quota_per_s, 12.5);
 }
@@ -57,8 +57,8 @@
   EXPECT_EQ(line_of(Refuse{7, 0}), "deny Tid=7");
   EXPECT_EQ(line_of(Fail{7}), "drop_request Tid=7");
   EXPECT_EQ(line_of(Cancel{7, 2}), "call_off Tid=7 SendNo=2");
-  EXPECT_EQ(line_of(Watch{}), "follow Want=1");
-  EXPECT_EQ(line_of(Fetch{}), "pull");
+  EXPECT_EQ(line_of(WatchList{}), "follow Want=1");
+  EXPECT_EQ(line_of(FetchList{}), "pull");
   EXPECT_EQ(line_of(Timer{5, 6}), "wake_at SpanUs=5 Nonce=6");
   EXPECT_EQ(line_of(Probe{"h:1"}), "health_check Server=h:1");
 }
