--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -23,18 +23,19 @@
  public:
   /// Gets the list, or nothing where the call failed in any way.
   using Done = std::function<void(int id, ListResult result)>;
-  using Fault = robinseam::membership::Fault;
+  using CallFailure = robinseam::membership::CallFailure;
   /// Counts since the start, for the log.
   struct Counts {
     std::uint64_t calls = 0, failed = 0;
-    std::uint64_t bad = 0;  ///< of the failed, those that brought what is no list or may not count
+    std::uint64_t invalid =
+        0;  ///< of the failed, those that brought what is no list or may not count
     std::uint64_t timed_out = 0;  ///< of the failed, those of which nothing was heard
     std::uint64_t cancelled = 0;  ///< given up before their time was over
   };
   /// What was seen of a call, for the log.
   struct Trace {
     std::string path;
-    Micros begun = 0;
+    Micros started = 0;
     Micros first_byte = 0;  ///< 0: none has come
     int status = 0;         ///< of HTTP; 0: no head has come
   };
@@ -46,7 +47,7 @@
   void start(const ListCall& call);
   void stop();
   /// A call is under way.
-  bool out() const { return connection_ != nullptr; }
+  bool in_flight() const { return connection_ != nullptr; }
   int id() const { return id_; }
   const Trace& trace() const { return trace_; }
 
@@ -71,7 +72,7 @@
   evhttp_request* request_ = nullptr;  // under way; the connection's own
   EventPtr ready_;                     // the result is handed on outside of evhttp's own call
   std::optional<HostList> result_;
-  Fault fault_ = Fault::Refused;
+  CallFailure fault_ = CallFailure::Refused;
   Micros limit_ = 0;
   int id_ = 0;
   bool begun_ = false;    // the answer has
@@ -85,8 +86,8 @@
    public:
     virtual ~Handler() = default;
     virtual void on_hosts(HostList&& list) = 0;
-    /// An answer that may not change the list tells of servers that leave; see drains_in().
-    virtual void on_drains(const HostList& list, bool unnamed_have_left) = 0;
+    /// An answer that may not change the list tells of servers that leave; see extract_drains().
+    virtual void on_drains(const HostList& list, bool drain_unlisted) = 0;
     /// Any call; the next one may be under way already.
     virtual void on_call_failed() = 0;
     /// None is out: the next one is planned, and the handler may call sooner.
@@ -117,9 +118,9 @@
   void on_hosts(HostList&& list) override;
   void on_call_failed() override { handler_.on_call_failed(); }
   void on_hosts_failed() override { handler_.on_hosts_failed(); }
-  void on_refused(const std::string& reason) override;
-  void on_drains(const HostList& list, bool unnamed_have_left) override {
-    handler_.on_drains(list, unnamed_have_left);
+  void on_list_rejected(const std::string& reason) override;
+  void on_drains(const HostList& list, bool drain_unlisted) override {
+    handler_.on_drains(list, drain_unlisted);
   }
   void log_end(int id, const ListResult& result);
   /// One line for a call that has ended or was given up. `list`: its answer.
--- a/src/net/router.hpp
+++ b/src/net/router.hpp
@@ -7,17 +7,17 @@
 #include <utility>
 #include <vector>
 
-#include "../control/control.hpp"
+#include "../control/control_server.hpp"
 #include "../control/handover.hpp"
 #include "../core/core.hpp"
 #include "../io/io.hpp"
-#include "../membership/ban_file.hpp"
-#include "../membership/hand_list.hpp"
+#include "../membership/disabled_servers_file.hpp"
+#include "../membership/operator_overrides.hpp"
 #include "client_side.hpp"
 #include "config.hpp"
 #include "discovery.hpp"
-#include "front.hpp"
-#include "list_memory.hpp"
+#include "frontend.hpp"
+#include "list_persistence.hpp"
 #include "recovery/recovery.hpp"
 #include "server_side.hpp"
 
@@ -26,7 +26,7 @@
 class Router final : ServerSide::Handler,
                      Discovery::Handler,
                      Lister,
-                     Control::Handler,
+                     ControlServer::Handler,
                      Handover::Handler {
  public:
   /// Throws ConfigError when the configuration can't be used. `clock` must outlive the router.
@@ -49,15 +49,15 @@
   /// Clients are accepted here and some cache server is listed that may be used.
   bool ready() const;
   /// A listed server may be used.
-  bool any_ready() const;
+  bool has_ready_server() const;
   /// A reload that could not be carried out, for the figures.
-  void note_failed_reload() { ++reloads_failed_; }
+  void record_failed_reload() { ++reloads_failed_; }
   Core& core() { return core_; }
   /// A further front, which takes part in the loop and in the planned end from here on. It must
   /// outlive run().
   /// Is told each list from now on; nullptr: none. It must outlive the router.
-  void set_list_memory(ListMemory* memory) { memory_ = memory; }
-  void add_front(Front& front) { fronts_.push_back(&front); }
+  void set_list_persistence(ListPersistence* memory) { memory_ = memory; }
+  void add_frontend(Frontend& front) { fronts_.push_back(&front); }
   std::string address_of(const std::string& server) const { return servers_.address_of(server); }
   const std::vector<robinseam::ReportField>& report_fields() const {
     return config_.settings.report_fields;
@@ -70,26 +70,26 @@
   }
   // Discovery::Handler
   void on_hosts(HostList&& list) override;
-  void on_drains(const HostList& list, bool unnamed_have_left) override;
+  void on_drains(const HostList& list, bool drain_unlisted) override;
   void on_call_failed() override { recovery_.failed(clock_.now()); }
   void on_hosts_failed() override { core_.list(robinseam::ListScope::Failed, {}); }
   // Lister
   void watch() override;
   void fetch() override { discovery_.fetch(); }
 
-  // Control::Handler
-  std::string on_control(const ControlCall& call) override;
+  // ControlServer::Handler
+  std::string on_control_call(const ControlCall& call) override;
   // Handover::Handler
-  int listener() override { return clients_.listener(); }
-  std::string list() override { return text_of(hand_.told()); }
-  void on_successor() override;
+  int listening_socket() override { return clients_.listener(); }
+  std::string server_list() override { return text_of(hand_.discovered_list()); }
+  void on_successor_ready() override;
   void on_successor_lost() override;
-  void on_client(Fd&& client) override { clients_.adopt(std::move(client)); }
-  void on_predecessor_holds(std::size_t descriptors) override;
+  void on_client_handed_over(Fd&& client) override { clients_.adopt(std::move(client)); }
+  void on_predecessor_descriptors(std::size_t descriptors) override;
   void on_predecessor_gone() override;
 
   std::string set_out(const std::string& id, bool out);
-  void apply_bans(const Bans& bans);
+  void apply_bans(const DisabledServers& bans);
   /// Accepts clients in the predecessor's place as soon as they can be served.
   void take_over_if_ready();
   std::size_t held_descriptors() const;
@@ -129,20 +129,20 @@
   ServerSide servers_;
   ClientSide clients_;
   Discovery discovery_;
-  HandList hand_;
-  BanFile ban_file_;
+  OperatorOverrides hand_;
+  DisabledServersFile ban_file_;
   mutable robinseam::recovery::Recovery recovery_;  // its view moves on with time alone
   robinseam::recovery::Phase told_phase_ = robinseam::recovery::Phase::Starting;
   bool told_overdue_ = false;
   std::uint64_t served_seen_ = 0, unserved_seen_ = 0;
   Micros pulse_at_;
-  std::unique_ptr<Control> control_;
+  std::unique_ptr<ControlServer> control_;
   std::unique_ptr<Handover> handover_;
   bool taking_over_ = false;        // the predecessor still accepts
   std::size_t held_elsewhere_ = 0;  // descriptors of the other process of an upgrade
   std::uint64_t reloads_ok_ = 0, reloads_failed_ = 0;
-  std::vector<Front*> fronts_;
-  ListMemory* memory_ = nullptr;
+  std::vector<Frontend*> fronts_;
+  ListPersistence* memory_ = nullptr;
   std::set<std::string> down_;  // listed servers that the last line of states left as down
   Micros stopping_since_ = 0;
   bool done_ = false;
--- a/tests/binary/hard_test.cpp
+++ b/tests/binary/hard_test.cpp
@@ -1,10 +1,11 @@
-// The binary protocol's hard cases, over loopback against a running router.
+// Edge cases of the binary protocol, over loopback against a running router: malformed and cut
+// input, quiet commands, wrong or late answers, servers configured for the wrong protocol.
 #include <sys/socket.h>
 
 #include <atomic>
 #include <set>
 
-#include "talk.hpp"
+#include "scripted_peers.hpp"
 
 namespace arrowfork::test {
 namespace {
@@ -21,7 +22,7 @@
   return c;
 }
 
-/// A binary server that answers reads with "v:KEY", and what `script` says else.
+/// The answer of a binary server: "v:KEY" to a read, CAS 7 to a write.
 std::string good_answer(const binary::Command& c) {
   if (binary::is_write(c.opcode))
     return binary::response(c.opcode, binary::status::kOk, c.opaque, {}, {}, 0, 7);
@@ -31,8 +32,8 @@
   return [](const std::string& p) { return good_answer(command_of(p)); };
 }
 
-/// What a raw client is told for `bytes`: statuses by opaque, until the connection ends or `count`.
-std::vector<binary::Answer> told(Link& client, std::size_t count) {
+/// Reads `count` answers, fewer if the connection closes before.
+std::vector<binary::Answer> read_answers(TestConnection& client, std::size_t count) {
   std::vector<binary::Answer> all;
   while (all.size() < count) {
     std::string p = read_packet(client);
@@ -52,28 +53,28 @@
     client_ = router_->client();
   }
   void expect_alive() {
-    Link other = router_->client();
+    TestConnection other = router_->client();
     other.write(packet(Opcode::GetK, 77, "alive"));
     binary::Answer a = read_answer(other);
     EXPECT_EQ(a.opaque, 77u);
     EXPECT_EQ(a.value, "v:alive");
   }
-  ServingPeer server_{good_server(), whole_packet};
+  ServingPeer server_{good_server(), complete_packet_size};
   std::unique_ptr<RunningRouter> router_;
-  Link client_;
+  TestConnection client_;
 };
 
 // ---- clients ----
 
-TEST_F(OneServer, EveryFormOfReadAndWriteIsAnsweredInItsForm) {
+TEST_F(OneServer, EachReadAndWriteOpcodeGetsItsAnswerForm) {
   start();
   client_.write(packet(Opcode::Get, 1, "a") + packet(Opcode::GetQ, 2, "b") +
                 packet(Opcode::GetK, 3, "c") + packet(Opcode::GetKQ, 4, "d") +
                 packet(Opcode::Set, 5, "e", "v") + packet(Opcode::SetQ, 6, "f", "v") +
                 packet(Opcode::Noop, 7));
-  auto all = told(client_, 6);
+  auto all = read_answers(client_, 6);
   ASSERT_EQ(all.size(), 6u);
-  const std::uint32_t opaques[] = {1, 2, 3, 4, 5, 7};  // SETQ is silent
+  const std::uint32_t opaques[] = {1, 2, 3, 4, 5, 7};  // SETQ has no answer on success
   const char* const keys[] = {"", "", "c", "d", "", ""};
   const char* const values[] = {"v:a", "v:b", "v:c", "v:d", "", ""};
   for (std::size_t k = 0; k < all.size(); ++k) {
@@ -85,7 +86,7 @@
   EXPECT_EQ(all[4].cas, 7u);
 }
 
-TEST_F(OneServer, TheRoutersOwnCommandsAreAnswered) {
+TEST_F(OneServer, VersionStatNoopAndQuitAreAnsweredByTheRouter) {
   start();
   client_.write(packet(Opcode::Version, 1) + packet(Opcode::Stat, 2) +
                 packet(Opcode::Stat, 3, "items") + packet(Opcode::Noop, 4));
@@ -102,14 +103,14 @@
   client_.write(packet(Opcode::Get, 5, "a") + packet(Opcode::Quit, 6) + packet(Opcode::Noop, 7));
   EXPECT_EQ(read_answer(client_).opaque, 5u);
   EXPECT_EQ(read_answer(client_).opaque, 6u);
-  EXPECT_TRUE(client_.ends());
-  Link quiet = router_->client();
+  EXPECT_TRUE(client_.is_closed());
+  TestConnection quiet = router_->client();
   quiet.write(packet(Opcode::Get, 1, "a") + packet(Opcode::QuitQ, 2));
   EXPECT_EQ(read_answer(quiet).opaque, 1u);
-  EXPECT_TRUE(quiet.ends());
+  EXPECT_TRUE(quiet.is_closed());
 }
 
-TEST_F(OneServer, WhatCantBeServedIsToldAndTheConnectionGoesOn) {
+TEST_F(OneServer, UnsupportedCommandsAreRejectedAndTheConnectionKept) {
   start();
   std::string add = packet(Opcode::Set, 1, "k", "v"), unknown = packet(Opcode::Noop, 2);
   add[1] = 0x02;
@@ -122,7 +123,7 @@
                 packet(Opcode::GetQ, 8, "a\r\nms k 1 O1") +
                 packet(Opcode::Get, 9, std::string(250, 'k')));
   const std::uint16_t due[] = {0x83, 0x81, 0x04, 0x04, 0x03, 0x83, 0x04, 0x04, 0x00};
-  auto all = told(client_, 9);
+  auto all = read_answers(client_, 9);
   ASSERT_EQ(all.size(), 9u);
   for (std::size_t k = 0; k < 9; ++k) {
     EXPECT_EQ(all[k].opaque, k + 1);
@@ -130,37 +131,37 @@
   }
 }
 
-TEST_F(OneServer, LengthsThatContradictEachOtherOrGoOnForeverEndTheConnection) {
+TEST_F(OneServer, ContradictoryOrHugeLengthsCloseTheConnection) {
   start();
   std::string shorter = packet(Opcode::Set, 1, "key", "value"), huge = shorter;
-  shorter[11] = 5;  // of key and extras alone there are 11
+  shorter[11] = 5;  // key and extras alone take 11
   for (int k = 8; k < 12; ++k) huge[k] = static_cast<char>(0xff);
   const std::pair<std::string, std::uint16_t> cases[] = {{shorter, 0x04}, {huge, 0x03}};
   for (const auto& [bytes, status] : cases) {
-    Link client = router_->client();
+    TestConnection client = router_->client();
     client.write(packet(Opcode::Get, 9, "a") + bytes);
-    EXPECT_EQ(read_answer(client).opaque, 9u);  // what was whole before is answered
+    EXPECT_EQ(read_answer(client).opaque, 9u);  // the complete command before is answered
     binary::Answer a = read_answer(client);
     EXPECT_EQ(a.status, status);
     EXPECT_EQ(a.opaque, 1u);
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.is_closed());
   }
   expect_alive();
 }
 
-TEST_F(OneServer, AHeaderCutAtEachByteHarmsNobody) {
+TEST_F(OneServer, CommandCutAtEachByteDoesNotAffectOtherClients) {
   start();
   std::string bytes = packet(Opcode::Set, 1, "key", "value");
   for (std::size_t size = 1; size < bytes.size(); ++size) {
-    Link client = router_->client();
+    TestConnection client = router_->client();
     client.write(bytes.substr(0, size));
-    client.end_sending();
-    EXPECT_TRUE(client.ends()) << size;
+    client.shut_down_sending();
+    EXPECT_TRUE(client.is_closed()) << size;
   }
   expect_alive();
 }
 
-TEST_F(OneServer, TheSameOpaqueTwiceIsAnsweredTwiceInOrder) {
+TEST_F(OneServer, RepeatedOpaqueIsAnsweredTwiceInOrder) {
   start();
   client_.write(packet(Opcode::GetK, 5, "a") + packet(Opcode::GetK, 5, "b"));
   binary::Answer a = read_answer(client_), b = read_answer(client_);
@@ -172,33 +173,33 @@
 
 TEST_F(OneServer, MetaAndBinaryClientsShareTheListener) {
   start();
-  Link meta = router_->client();
+  TestConnection meta = router_->client();
   client_.write(packet(Opcode::Get, 1, "a"));
   meta.write("mg a v OM1 Pc=read,t=acme,d=5000\r\n");
   EXPECT_EQ(read_answer(client_).value, "v:a");
   EXPECT_EQ(meta.line(), "VA 3 OM1\r\n");
   EXPECT_EQ(meta.line(), "v:a\r\n");
-  // A connection keeps what it began with.
+  // A connection keeps the protocol of its first byte.
   meta.write(packet(Opcode::Noop, 1) + "\r\n");
   EXPECT_EQ(meta.line(), "ERROR\r\n");
   client_.write("mn\r\n");
   EXPECT_EQ(read_answer(client_).status, binary::status::kInvalid);
-  EXPECT_TRUE(client_.ends());
+  EXPECT_TRUE(client_.is_closed());
 }
 
-TEST(BinaryOff, WithoutTheSettingTheFirstByteMeansNothing) {
+TEST(BinaryOff, BinaryMagicIsNotRecognizedWithoutTheSetting) {
   Peer server;
   ConfigText c;
   c.hosts = {host_json("s-1", server.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::Version, 1) + "\r\n");
   EXPECT_EQ(client.line(), "ERROR\r\n");
-  client.write("mg k v f O1 Pc=read,d=100\r\n");  // nor are flags known
+  client.write("mg k v f O1 Pc=read,d=100\r\n");  // flags are not supported either
   EXPECT_EQ(client.line(), "CLIENT_ERROR bad command\r\n");
 }
 
-TEST(Quiet, ARefusalInTheMiddleIsToldAndTheRestKeepsItsOrder) {
+TEST(Quiet, ErrorsAmongQuietCommandsAreReportedInOrder) {
   auto answer = [](const std::string& p) {
     binary::Command c = command_of(p);
     if (c.key == "full")
@@ -207,17 +208,17 @@
       return binary::response(c.opcode, binary::status::kInternal, c.opaque, "failed");
     return good_answer(c);
   };
-  ServingPeer one(answer, whole_packet);
+  ServingPeer one(answer, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", one.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::GetQ, 1, "a") + packet(Opcode::SetQ, 2, "b", "v") +
                packet(Opcode::GetQ, 3, "full") + packet(Opcode::SetQ, 4, "full", "v") +
                packet(Opcode::SetQ, 5, "failing", "v") + packet(Opcode::GetK, 6, "c") +
                packet(Opcode::SetQ, 7, "d", "v") + packet(Opcode::Noop, 8));
-  auto all = told(client, 6);
+  auto all = read_answers(client, 6);
   ASSERT_EQ(all.size(), 6u);
   const std::uint32_t opaques[] = {1, 3, 4, 5, 6, 8};
   const std::uint16_t statuses[] = {0, 0x85, 0x85, 0x84, 0, 0};
@@ -229,27 +230,27 @@
   EXPECT_GT(std::atoi(all[1].value.c_str() + 5), 0);
 }
 
-TEST(Quiet, HundredsWithNoBarrierFromAClientThatNeverReadsAreHeldBack) {
+TEST(Quiet, ClientThatNeverReadsIsNotReadFurtherAndDisconnected) {
   std::atomic<int> reads{0};
   auto answer = [&](const std::string& p) {
     ++reads;
     binary::Command c = command_of(p);
     return served(c, c.key == "alive" ? "yes" : std::string(kMaxValue, 'v'));
   };
-  ServingPeer server(answer, whole_packet);
+  ServingPeer server(answer, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link greedy = router.client();
+  TestConnection greedy = router.client();
   int small = 4096;
   ::setsockopt(greedy.fd(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   std::string bytes;
   for (std::uint32_t k = 0; k < 800; ++k)
     bytes += packet(Opcode::GetQ, k, "key" + std::to_string(k));
-  greedy.write(bytes);  // all fits the sockets' buffers
-  // The rest is served meanwhile, and the one that takes nothing is given up.
-  Link other = router.client();
+  greedy.write(bytes);  // fits the socket buffers
+  // Other clients are served meanwhile, and the client that reads nothing is disconnected.
+  TestConnection other = router.client();
   for (int k = 0; k < 20; ++k) {
     other.write(packet(Opcode::Get, 1, "alive"));
     EXPECT_EQ(read_answer(other).value, "yes");
@@ -261,30 +262,30 @@
       if (a.key == "curr_connections") count = std::stoi(a.value);
     return count;
   };
-  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   while (connections() > 1 && std::chrono::steady_clock::now() < end)
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   EXPECT_EQ(connections(), 1);
-  EXPECT_LT(reads, 400);  // back-pressure: most were never sent on
+  EXPECT_LT(reads, 400);  // back-pressure: most were never forwarded
 }
 
-TEST_F(OneServer, TerminationLetsAQuietBatchReachItsBarrier) {
+TEST_F(OneServer, TerminationWaitsForTheBarrierOfAQuietBatch) {
   start();
-  Link idle = router_->client();
+  TestConnection idle = router_->client();
   idle.write(packet(Opcode::Noop, 1));
   EXPECT_EQ(read_answer(idle).opaque, 1u);
   client_.write(packet(Opcode::SetQ, 1, "a", "v") + packet(Opcode::GetQ, 2, "b"));
   EXPECT_EQ(read_answer(client_).opaque, 2u);
   router_->terminate();
-  EXPECT_TRUE(idle.ends());  // drained: between requests it is closed
+  EXPECT_TRUE(idle.is_closed());  // drained: between requests it is closed
   client_.write(packet(Opcode::SetQ, 3, "c", "v") + packet(Opcode::Noop, 4));
   EXPECT_EQ(read_answer(client_).opaque, 4u);
-  EXPECT_TRUE(client_.ends());
+  EXPECT_TRUE(client_.is_closed());
   client_.close(), idle.close();
   router_->wait_for_end();
 }
 
-TEST_F(OneServer, AReloadBetweenAQuietCommandAndItsBarrierLosesNothing) {
+TEST_F(OneServer, ReloadBetweenAQuietCommandAndItsBarrierKeepsBoth) {
   start();
   client_.write(packet(Opcode::SetQ, 1, "a", "v") + packet(Opcode::GetQ, 2, "b"));
   EXPECT_EQ(read_answer(client_).opaque, 2u);
@@ -294,29 +295,29 @@
   router_->reload(next.text());
   client_.write(packet(Opcode::Noop, 3));
   EXPECT_EQ(read_answer(client_).opaque, 3u);  // an open connection keeps its protocol
-  Link late = router_->client();
+  TestConnection late = router_->client();
   late.write(packet(Opcode::Noop, 1) + "\r\n");
   EXPECT_EQ(late.line(), "ERROR\r\n");
 }
 
 // ---- servers ----
 
-/// Two binary servers; the client's read reaches one.
-class SpoiltBinary : public testing::Test {
+/// Two binary servers; the client's read reaches one, whose answer then fails.
+class FailedBinaryAttempt : public testing::Test {
  protected:
-  SpoiltBinary() : config_(binary_config({&a_, &b_})) {}
+  FailedBinaryAttempt() : config_(binary_config({&a_, &b_})) {}
   void start(const std::string& bytes) {
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
     client_.write(bytes);
-    std::size_t who = first_called({&a_, &b_});
+    std::size_t who = first_contacted({&a_, &b_});
     spare_ = who == 0 ? &b_ : &a_;
     hit_ = who == 0 ? &a_ : &b_;
     link_ = hit_->accept();
     asked_ = command_of(read_packet(link_));
   }
   void expect_retry() {
-    Link second = spare_->accept();
+    TestConnection second = spare_->accept();
     binary::Command c = command_of(read_packet(second));
     EXPECT_EQ(c.key, asked_.key);
     second.write(served(c, "fine"));
@@ -326,36 +327,36 @@
   ConfigText config_;
   std::unique_ptr<RunningRouter> router_;
   Peer *hit_ = nullptr, *spare_ = nullptr;
-  Link client_, link_;
+  TestConnection client_, link_;
   binary::Command asked_;
 };
 
-TEST_F(SpoiltBinary, AnAnswerWithAnothersOpaqueIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpaqueIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   binary::Command wrong = asked_;
   ++wrong.opaque;
   link_.write(served(wrong, "wrong"));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerWithAnothersKeyIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherKeyIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   binary::Command wrong = asked_;
   wrong.key = "kez";
   link_.write(served(wrong, "wrong"));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerToAnotherOpcodeIsNeverServed) {
+TEST_F(FailedBinaryAttempt, AnswerWithAnotherOpcodeIsNeverServed) {
   start(packet(Opcode::Get, 1, "key"));
   link_.write(binary::response(Opcode::Set, 0, asked_.opaque, {}, {}, 0, 5));
   expect_retry();
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(SpoiltBinary, AnAnswerCutAtAnyByteIsRetriedElsewhere) {
+TEST_F(FailedBinaryAttempt, AnswerCutAtAnyByteIsRetriedAtTheOtherServer) {
   std::size_t whole = served({Opcode::GetK, 0, 0, 0, 0, "key", ""}, "wrong").size();
   for (std::size_t size = 0; size < whole; ++size) {
     start(packet(Opcode::Get, 1, "key"));
@@ -365,15 +366,15 @@
   }
 }
 
-TEST_F(SpoiltBinary, BytesBehindAGoodAnswerSpoilOnlyTheirConnection) {
+TEST_F(FailedBinaryAttempt, BytesAfterAValidAnswerOnlyCloseTheirConnection) {
   start(packet(Opcode::Get, 1, "key"));
   link_.write(served(asked_, "good") + served(asked_, "again"));
   EXPECT_EQ(read_answer(client_).value, "good");
-  EXPECT_TRUE(link_.ends());
-  EXPECT_TRUE(client_.silent(50));
+  EXPECT_TRUE(link_.is_closed());
+  EXPECT_TRUE(client_.stays_silent(50));
 }
 
-TEST_F(SpoiltBinary, ALateAnswerWithACancelledOpaqueIsDroppedAndNeverServed) {
+TEST_F(FailedBinaryAttempt, LateAnswerWithACancelledOpaqueIsDroppedAndNeverServed) {
   config_.may_cancel = false;
   config_.binary = R"({"read_deadline_ms":300,"write_class":"pay","servers":[{"id":"*"}]})";
   config_.hosts.pop_back();  // one server
@@ -382,33 +383,33 @@
   client_ = router_->client();
   client_.write(packet(Opcode::Get, 1, "key"));
   link_ = a_.accept();
-  binary::Command given_up = command_of(read_packet(link_));
-  EXPECT_NE(read_answer(client_).status, 0);  // in its time
-  link_.write(served(given_up, "late"));
-  // The late answer was read past: the connection serves on.
-  bool again = false;
-  for (int k = 0; k < 40 && !again; ++k) {  // the door may be shut to some keys by now
+  binary::Command abandoned = command_of(read_packet(link_));
+  EXPECT_NE(read_answer(client_).status, 0);  // within its deadline
+  link_.write(served(abandoned, "late"));
+  // The late answer was skipped: the connection is used further.
+  bool reused = false;
+  for (int k = 0; k < 40 && !reused; ++k) {  // admission may shed some keys by now
     client_.write(packet(Opcode::Get, 2, "key" + std::to_string(k)));
     std::vector<pollfd> fds = {{link_.fd(), POLLIN, 0}, {client_.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(fds.data(), 2, kPatienceMs), 0);
-    again = fds[0].revents != 0;
-    if (!again) {
+    ASSERT_GT(::poll(fds.data(), 2, kTestTimeoutMs), 0);
+    reused = fds[0].revents != 0;
+    if (!reused) {
       EXPECT_NE(read_answer(client_).status, 0);
     }
   }
-  ASSERT_TRUE(again);
-  // And what bears the opaque of one that has ended is not taken for the next one's answer.
+  ASSERT_TRUE(reused);
+  // An answer with the opaque of the ended attempt is not taken for the answer to the next one.
   binary::Command next = command_of(read_packet(link_));
-  EXPECT_NE(next.opaque, given_up.opaque);
+  EXPECT_NE(next.opaque, abandoned.opaque);
   binary::Command forged = next;
-  forged.opaque = given_up.opaque;
+  forged.opaque = abandoned.opaque;
   link_.write(served(forged, "old"));
   EXPECT_NE(read_answer(client_).value, "old");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST(WrongProtocol, CostsOneAttemptAConnectionIsToldAndEndsWithAReload) {
-  // s-1 is configured binary and speaks meta; s-2 is what it is said to be.
+TEST(WrongProtocol, CostsOneAttemptPerConnectionIsLoggedAndEndsWithAReload) {
+  // s-1 is configured as binary but speaks meta; s-2 is binary as configured.
   std::atomic<int> binary_bytes{0}, meta_served{0}, good_served{0};
   auto meta = [&](const std::string& line) -> std::string {
     if (static_cast<unsigned char>(line[0]) == binary::kRequestMagic) {
@@ -418,20 +419,20 @@
     ++meta_served;
     return value_answer(id_of(line), "meta", " f0");
   };
-  // Either a line or a packet: the stand-in sees what it was sent.
+  // Accepts a line or a packet, so that the meta server sees whatever it was sent.
   auto line_or_packet = [](std::string_view text) {
     return !text.empty() && static_cast<unsigned char>(text[0]) == binary::kRequestMagic
-               ? whole_packet(text)
-               : whole_line(text);
+               ? complete_packet_size(text)
+               : complete_line_size(text);
   };
   ServingPeer wrong(meta, line_or_packet);
   ServingPeer right([&](const std::string& p) { return ++good_served, good_answer(command_of(p)); },
-                    whole_packet);
+                    complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", wrong.address()), host_json("s-2", right.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   testing::internal::CaptureStderr();
   int failed = 0;
   for (std::uint32_t k = 0; k < 400; ++k) {
@@ -441,7 +442,7 @@
   std::string log = testing::internal::GetCapturedStderr();
   EXPECT_LE(failed, 4);
   EXPECT_GT(binary_bytes, 0);
-  EXPECT_LT(binary_bytes, 120);  // its keys went elsewhere
+  EXPECT_LT(binary_bytes, 120);  // its keys went to the other server
   EXPECT_GE(good_served, 390);
   EXPECT_NE(log.find("server s-1 at " + wrong.address() +
                      " answers in the meta protocol but is configured for binary"),
@@ -449,8 +450,8 @@
       << log;
   config.binary = R"({"write_class":"pay","servers":[{"id":"s-2"}]})";
   router.reload(config.text());
-  // It recovers by itself, in seconds.
-  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kPatienceMs);
+  // The server is used again within seconds, without further action.
+  auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(kTestTimeoutMs);
   for (std::uint32_t k = 0; meta_served < 20 && std::chrono::steady_clock::now() < end; ++k) {
     client.write(packet(Opcode::Get, k, "again" + std::to_string(k)));
     read_answer(client);
@@ -459,90 +460,91 @@
   EXPECT_GE(meta_served, 20);
 }
 
-TEST(WrongProtocol, BeforeAServerHasSpokenAConnectionCarriesOneAttempt) {
+TEST(WrongProtocol, ConnectionCarriesOneAttemptUntilTheServerHasAnswered) {
   Peer server;
   ConfigText config = binary_config({&server});
-  config.routers = 30;  // two connections a server
-  TestClock clock;      // stands still: nothing is given up meanwhile
+  config.routers = 30;  // two connections per server
+  TestClock clock;      // stands still: no attempt times out
   RunningRouter router(config, &clock);
-  Link client = router.client();
+  TestConnection client = router.client();
   for (std::uint32_t k = 0; k < 6; ++k)
     client.write(packet(Opcode::Get, k, "key" + std::to_string(k)));
-  Link links[2] = {server.accept(), server.accept()};
+  TestConnection links[2] = {server.accept(), server.accept()};
   binary::Command first[2] = {command_of(read_packet(links[0])), command_of(read_packet(links[1]))};
-  EXPECT_TRUE(links[0].silent(50));
-  EXPECT_TRUE(links[1].silent(50));
+  EXPECT_TRUE(links[0].stays_silent(50));
+  EXPECT_TRUE(links[1].stays_silent(50));
   links[0].write(good_answer(first[0]));
   links[1].write(good_answer(first[1]));
   for (int left = 4; left > 0; --left) {
-    for (int k = 0; k < kPatienceMs && links[0].silent(0) && links[1].silent(1); ++k) {
+    for (int k = 0; k < kTestTimeoutMs && links[0].stays_silent(0) && links[1].stays_silent(1);
+         ++k) {
     }
-    Link& link = links[links[0].silent(0) ? 1 : 0];
+    TestConnection& link = links[links[0].stays_silent(0) ? 1 : 0];
     link.write(good_answer(command_of(read_packet(link))));
   }
   for (std::uint32_t k = 0; k < 6; ++k)
     EXPECT_EQ(read_answer(client).value, "v:key" + std::to_string(k));
 }
 
-TEST(WrongProtocol, ABinaryServerThatIsTakenForMetaIsToldAsWell) {
+TEST(WrongProtocol, BinaryServerConfiguredForMetaIsLoggedAsWell) {
   Peer server;
   ConfigText config;
   config.binary = R"({"write_class":"pay"})";
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   testing::internal::CaptureStderr();
   client.write(packet(Opcode::Get, 1, "key"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(at_server.line().substr(0, 11), "mg key v f ");
   at_server.write(binary::response(Opcode::Noop, binary::status::kInvalid, 0));
-  EXPECT_TRUE(at_server.ends());
+  EXPECT_TRUE(at_server.is_closed());
   EXPECT_NE(read_answer(client).status, 0);
   EXPECT_NE(testing::internal::GetCapturedStderr().find(
                 "answers in the binary protocol but is configured for meta"),
             std::string::npos);
 }
 
-TEST(Fleet, AKeyedWriteIsNotRepeatedWhereAServerCantBeToldItsKey) {
+TEST(Fleet, KeyedWriteIsNotRetriedIfAServerCannotReceiveItsIdempotencyKey) {
   for (bool cas : {false, true}) {
     Peer a, b;
     ConfigText config = binary_config({&a, &b});
     config.binary = std::string(R"({"write_class":"put","servers":[{"id":"s-2"}])") +
                     (cas ? R"(,"server_idempotency":"cas"})" : "}");
     RunningRouter router(config);
-    Link client = router.client();
+    TestConnection client = router.client();
     client.write("ms key 1 OW1 Pc=put,t=acme,d=15000,k=5c0f6e1a2b3d4c59\r\nv\r\n");
-    std::size_t who = first_called({&a, &b});
+    std::size_t who = first_contacted({&a, &b});
     Peer &hit = who ? b : a, &spare = who ? a : b;
-    Link first = hit.accept();
+    TestConnection first = hit.accept();
     first.bytes(1);
     first.send_reset();
     if (cas) {
       EXPECT_EQ(spare.accept().bytes(1).size(), 1u);
     } else {
       EXPECT_EQ(client.line(), "SERVER_ERROR failed\r\n");
-      EXPECT_TRUE(spare.nobody_comes(50));
+      EXPECT_TRUE(spare.no_connection_within(50));
     }
   }
 }
 
-TEST(Aside, AMissIsToldAsNotFoundAndGetqIsSilent) {
+TEST(Aside, MissIsAnsweredAsNotFoundAndNotAtAllToGetq) {
   auto missing = [](const std::string& p) {
     binary::Command c = command_of(p);
     if (c.key.starts_with("held")) return good_answer(c);
     return binary::response(c.opcode, binary::status::kNotFound, c.opaque, "Not found");
   };
-  ServingPeer cache(missing, whole_packet), origin(missing, whole_packet);
+  ServingPeer cache(missing, complete_packet_size), origin(missing, complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.origin_kind = "ledger";
   config.hosts = {host_json("s-1", cache.address()),
                   host_json("o-1", origin.address(), "active", 0, "ledger")};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::Get, 1, "a") + packet(Opcode::GetQ, 2, "b") +
                packet(Opcode::GetQ, 3, "held") + packet(Opcode::Noop, 4));
-  auto all = told(client, 3);
+  auto all = read_answers(client, 3);
   ASSERT_EQ(all.size(), 3u);
   EXPECT_EQ(all[0].opaque, 1u);
   EXPECT_EQ(all[0].status, binary::status::kNotFound);
@@ -551,24 +553,24 @@
   EXPECT_EQ(all[2].opaque, 4u);
 }
 
-TEST(Through, ANotFoundIsNoMissButAFailure) {
+TEST(Through, NotFoundIsAFailureWithoutCacheAside) {
   ServingPeer server(
       [](const std::string& p) {
         binary::Command c = command_of(p);
         return binary::response(c.opcode, binary::status::kNotFound, c.opaque, "Not found");
       },
-      whole_packet);
+      complete_packet_size);
   ConfigText config;
   config.binary = kAllBinary;
   config.hosts = {host_json("s-1", server.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(packet(Opcode::GetQ, 1, "a"));
-  binary::Answer a = read_answer(client);  // told, though quiet
+  binary::Answer a = read_answer(client);  // answered, although the command is quiet
   EXPECT_TRUE(a.status == binary::status::kInternal || a.status == binary::status::kBusy);
 }
 
-TEST(BinaryReload, AClassThatIsNotInForceChangesNothing) {
+TEST(BinaryReload, UnknownClassIsRejectedAndChangesNothing) {
   Peer server;
   ConfigText config;
   config.binary = kAllBinary;
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// The router over loopback sockets, between scripted clients, cache servers and discovery.
+// The router over loopback sockets, with scripted clients, cache servers and discovery.
 #include <atomic>
 
 #include "loopback.hpp"
@@ -22,12 +22,12 @@
   return c;
 }
 
-TEST(Router, AReadGoesOnUnchangedButForTheWaitAndItsValueComesBack) {
+TEST(Router, ReadIsForwardedWithOnlyItsDeadlineChangedAndItsValueReturned) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("a1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   std::string line = at_server.line();
   std::size_t d = line.find(",d=");
   ASSERT_NE(d, line.npos) << line;
@@ -41,13 +41,13 @@
   EXPECT_EQ(client.bytes(7), "he\r\no\r\n");
 }
 
-TEST(Router, AWriteGoesOnWithItsValueAndItsReceiptComesBack) {
+TEST(Router, WriteIsForwardedWithItsValueAndItsReceiptReturned) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string command = put("b1", "hello");
   for (char c : command) client.write(std::string_view(&c, 1));  // a slow writer
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   std::string line = at_server.line();
   EXPECT_EQ(line.substr(0, 29), "ms key 5 Ob1 Pc=put,t=acme,d=") << line;
   EXPECT_EQ(line.substr(line.find(",k=")), ",k=77\r\n");
@@ -56,10 +56,10 @@
   EXPECT_EQ(client.line(), "HD Ob1 c9f\r\n");
 }
 
-TEST(Router, NoopAndBadInputAreAnsweredAndHarmNoOtherConnection) {
+TEST(Router, NoopAndBadInputAreAnsweredWithoutAffectingOtherConnections) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client(), other = router.client();
+  TestConnection client = router.client(), other = router.client();
   client.write("mn\r\nget a\r\nmg \r\nms k 3 O1\r\nabc\r\nmn\r\n");
   EXPECT_EQ(client.line(), "MN\r\n");
   EXPECT_EQ(client.line(), "ERROR\r\n");
@@ -68,27 +68,27 @@
   EXPECT_EQ(client.line(), "MN\r\n");
   client.write("ms k many O1 Pc=put\r\n");
   EXPECT_EQ(client.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(client.ends());
-  Link endless = router.client();
+  EXPECT_TRUE(client.is_closed());
+  TestConnection endless = router.client();
   endless.write(std::string(kMaxLine + 1, 'x'));
   EXPECT_EQ(endless.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(endless.ends());
+  EXPECT_TRUE(endless.is_closed());
   other.write("mn\r\n");
   EXPECT_EQ(other.line(), "MN\r\n");
 }
 
-TEST(Router, PipelinedCommandsAreAnsweredInTheirOrder) {
+TEST(Router, PipelinedCommandsAreAnsweredInOrder) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("c1") + "mn\r\n" + get("c2", "other"));
-  Link first = server.accept(), second = server.accept();
+  TestConnection first = server.accept(), second = server.accept();
   std::string id = id_of(first.line());
   if (id == "c2") std::swap(first, second), id = id_of(first.line());
   ASSERT_EQ(id, "c1");
   ASSERT_EQ(id_of(second.line()), "c2");
   second.write(value_answer("c2", "two"));
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   first.write(value_answer("c1", "one"));
   EXPECT_EQ(client.line(), "VA 3 Oc1\r\n");
   EXPECT_EQ(client.line(), "one\r\n");
@@ -97,12 +97,12 @@
   EXPECT_EQ(client.line(), "two\r\n");
 }
 
-TEST(Router, AConnectionIsUsedAgain) {
+TEST(Router, ServerConnectionIsReused) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("d1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   for (std::string id : {"d1", "d2", "d3"}) {
     if (id != "d1") client.write(get(id));
     EXPECT_EQ(id_of(at_server.line()), id);
@@ -110,24 +110,26 @@
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
   }
-  EXPECT_TRUE(server.nobody_comes(0));
+  EXPECT_TRUE(server.no_connection_within(0));
 }
 
-/// Two servers; the client's read reaches one, which `spoils` its attempt.
-class Spoiled : public testing::Test {
+/// Two servers. The client's command reaches one of them, whose connection or answer then fails.
+class FailedAttempt : public testing::Test {
  protected:
-  Spoiled() { config_.hosts = {host_json("s-1", a_.address()), host_json("s-2", b_.address())}; }
+  FailedAttempt() {
+    config_.hosts = {host_json("s-1", a_.address()), host_json("s-2", b_.address())};
+  }
   void start(const std::string& command) {
     router_ = std::make_unique<RunningRouter>(config_);
     client_ = router_->client();
     client_.write(command);
-    std::size_t who = first_called({&a_, &b_});
+    std::size_t who = first_contacted({&a_, &b_});
     hit_ = who == 0 ? &a_ : &b_;
     spare_ = who == 0 ? &b_ : &a_;
     link_ = hit_->accept();
   }
   void expect_retry(const std::string& id) {
-    Link second = spare_->accept();
+    TestConnection second = spare_->accept();
     EXPECT_EQ(id_of(second.line()), id);
     second.write(value_answer(id, "fine"));
     EXPECT_EQ(client_.line(), "VA 4 O" + id + "\r\n");
@@ -136,19 +138,19 @@
   Peer a_, b_;
   ConfigText config_;
   std::unique_ptr<RunningRouter> router_;
-  Link client_, link_;
+  TestConnection client_, link_;
   Peer* hit_ = nullptr;
   Peer* spare_ = nullptr;
 };
 
-TEST_F(Spoiled, AResetIsRetriedElsewhere) {
+TEST_F(FailedAttempt, ResetIsRetriedAtTheOtherServer) {
   start(get("e1"));
   link_.line();
   link_.send_reset();
   expect_retry("e1");
 }
 
-TEST_F(Spoiled, AnEndAmidTheValueIsRetriedElsewhere) {
+TEST_F(FailedAttempt, CloseInsideTheValueIsRetriedAtTheOtherServer) {
   start(get("e2"));
   link_.line();
   link_.write("VA 5 Oe2 h1\r\nhel");
@@ -156,69 +158,69 @@
   expect_retry("e2");
 }
 
-// The wait is too short for the module's own patience to run out first.
-TEST_F(Spoiled, AnAnswerThatBreaksOffInSilenceIsRetriedElsewhere) {
+// The deadline is so short that the module's own attempt timeout does not run out first.
+TEST_F(FailedAttempt, AnswerThatStallsIsRetriedAtTheOtherServer) {
   start(get("e9", "key", "3000"));
   link_.line();
   link_.write("VA 5 Oe9 h1\r\nhel");
   expect_retry("e9");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, GarbageEndsTheConnection) {
+TEST_F(FailedAttempt, MalformedAnswerClosesTheConnection) {
   start(get("e3"));
   link_.line();
   link_.write("HTTP/1.1 200 OK\r\n");
   expect_retry("e3");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnAnswerToAnotherRequestEndsTheConnection) {
+TEST_F(FailedAttempt, AnswerToAnotherRequestClosesTheConnection) {
   start(get("e4"));
   link_.line();
   link_.write(value_answer("e5", "wrong"));
   expect_retry("e4");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnUnaskedAnswerEndsTheConnection) {
+TEST_F(FailedAttempt, UnexpectedAnswerClosesTheConnection) {
   start(get("e6"));
   link_.line();
   link_.write(value_answer("e6", "good") + value_answer("e6", "again"));
   EXPECT_EQ(client_.line(), "VA 4 Oe6\r\n");
   EXPECT_EQ(client_.line(), "good\r\n");
-  EXPECT_TRUE(link_.ends());
-  EXPECT_TRUE(client_.silent(50));
+  EXPECT_TRUE(link_.is_closed());
+  EXPECT_TRUE(client_.stays_silent(50));
 }
 
-TEST_F(Spoiled, BusyIsRetriedElsewhereAndTheConnectionKept) {
+TEST_F(FailedAttempt, BusyIsRetriedAtTheOtherServerAndTheConnectionKept) {
   start(get("e7"));
   link_.line();
   link_.write("SERVER_ERROR busy Lload_share=1,mean_ms=9,x0=0.5\r\n");
   expect_retry("e7");
-  EXPECT_TRUE(link_.silent(50));
+  EXPECT_TRUE(link_.stays_silent(50));
 }
 
-TEST_F(Spoiled, AWriteThatMustNotRunTwiceFailsWhenItMayHaveRun) {
+TEST_F(FailedAttempt, NonRepeatableWriteFailsIfItMayHaveRun) {
   start(put("e8", "x", "pay"));
   link_.line();
   link_.send_reset();
   std::string answer = client_.line();
-  EXPECT_EQ(answer, "SERVER_ERROR failed\r\n");  // busy would say that it never ran
-  EXPECT_TRUE(spare_->nobody_comes(100));
+  EXPECT_EQ(answer, "SERVER_ERROR failed\r\n");  // busy would promise that it never ran
+  EXPECT_TRUE(spare_->no_connection_within(100));
 }
 
-TEST(Router, ARefusedConnectIsRetriedElsewhereAlsoForAWriteThatMustNotRunTwice) {
+TEST(Router, RefusedConnectIsRetriedAtTheOtherServerEvenForANonRepeatableWrite) {
   Peer gone, server;
   ConfigText config;
   config.hosts = {host_json("s-1", gone.address()), host_json("s-2", server.address())};
   gone.close();
   RunningRouter router(config);
-  Link client = router.client();
-  for (int k = 0; k < 4; ++k) {  // some of these keys have their home at the dead one
+  TestConnection client = router.client();
+  for (int k = 0; k < 4; ++k) {  // some of these keys belong to the dead server
     std::string id = "f" + std::to_string(k);
     client.write(put(id, "x", "pay"));
-    static thread_local Link at_server;
+    static thread_local TestConnection at_server;
     if (k == 0) at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     EXPECT_EQ(at_server.bytes(3), "x\r\n");
@@ -227,10 +229,10 @@
   }
 }
 
-TEST(Router, WithNoServerARequestIsRefusedAndToldWhenToComeAgain) {
+TEST(Router, RequestWithoutServersIsRefusedWithARetryTime) {
   ConfigText config;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("g1"));
   std::string line = client.line();
   ASSERT_EQ(line.substr(0, 18), "SERVER_ERROR busy ");
@@ -240,79 +242,79 @@
   EXPECT_LE(wait, 1000);
 }
 
-TEST(Router, ASilentServersRequestIsAnsweredInTimeAndItsAttemptGivenUp) {
+TEST(Router, RequestAtASilentServerFailsInTimeAndItsAttemptIsAbandoned) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("h1", "key", "120"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
-  EXPECT_TRUE(at_server.ends());  // so that the server may drop it
+  EXPECT_TRUE(at_server.is_closed());  // closing lets the server drop the request
 }
 
-TEST(Router, WhereNothingCanBeCancelledALateAnswerIsDroppedAndItsConnectionKept) {
+TEST(Router, LateAnswerIsDroppedAndItsConnectionKeptWithoutCancellation) {
   Peer server;
   ConfigText config = one_server(server);
   config.may_cancel = false;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("h2", "key", "120"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
   at_server.write(value_answer("h2", "late"));
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   client.write(get("h3"));
-  EXPECT_EQ(id_of(at_server.line()), "h3");  // the connection is whole and used again
+  EXPECT_EQ(id_of(at_server.line()), "h3");  // the connection is intact and reused
   at_server.write(value_answer("h3", "good"));
   EXPECT_EQ(client.line(), "VA 4 Oh3\r\n");
 }
 
-TEST(Router, AHalfClosedClientStillGetsItsAnswer) {
+TEST(Router, HalfClosedClientStillReceivesItsAnswer) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("i1"));
-  client.end_sending();
-  Link at_server = server.accept();
+  client.shut_down_sending();
+  TestConnection at_server = server.accept();
   at_server.line();
-  EXPECT_TRUE(client.silent(50));
+  EXPECT_TRUE(client.stays_silent(50));
   at_server.write(value_answer("i1", "good"));
   EXPECT_EQ(client.line(), "VA 4 Oi1\r\n");
   EXPECT_EQ(client.line(), "good\r\n");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.is_closed());
 }
 
-TEST(Router, NothingNewIsSentForAClientThatHasLeft) {
+TEST(Router, NoNewAttemptIsSentForADisconnectedClient) {
   Peer a, b;
   ConfigText config;
   config.hosts = {host_json("s-1", a.address()), host_json("s-2", b.address())};
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("j1"));
-  Peer* hit = first_called({&a, &b}) == 0 ? &a : &b;
-  Link at_server = hit->accept();
+  Peer* hit = first_contacted({&a, &b}) == 0 ? &a : &b;
+  TestConnection at_server = hit->accept();
   at_server.line();
   client.close();
-  // A second client's round trip: by then the router has seen the close.
-  Link other = router.client();
+  // After a second client's round trip the router has seen the close.
+  TestConnection other = router.client();
   other.write("mn\r\n");
   EXPECT_EQ(other.line(), "MN\r\n");
   at_server.send_reset();
-  EXPECT_TRUE((hit == &a ? b : a).nobody_comes(100));
+  EXPECT_TRUE((hit == &a ? b : a).no_connection_within(100));
 }
 
-TEST(Router, TheLargestValuePassesBothWays) {
+TEST(Router, LargestValueIsForwardedInBothDirections) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string value(kMaxValue, '\0');
   for (std::size_t k = 0; k < value.size(); ++k)
     value[k] = static_cast<char>(k * 2654435761u >> 13);
   std::string command = put("k1", value);
   std::thread writer([&] { client.write(command); });
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "k1");
   EXPECT_TRUE(at_server.bytes(value.size()) == value);
   EXPECT_EQ(at_server.bytes(2), "\r\n");
@@ -329,23 +331,24 @@
   answerer.join();
 }
 
-TEST(Router, IdleConnectionsAreClosedBeforeTheServerDoesIt) {
+TEST(Router, IdleServerConnectionsAreClosedBeforeTheServersKeepaliveEnds) {
   Peer server;
   ConfigText config = one_server(server);
   config.keepalive_us = 1'000'000;
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("m1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   at_server.write(value_answer("m1", "v"));
   EXPECT_EQ(client.line(), "VA 1 Om1\r\n");
-  EXPECT_TRUE(at_server.ends());
+  EXPECT_TRUE(at_server.is_closed());
 }
 
-// By the settings alone an idle connection would stay for 36 s. A reset counts as the answer to the
-// command only when it comes at once, which a busy machine may miss: then the next round counts.
-TEST(Router, HowSoonAServerEndsIdleConnectionsIsLearnedFromResets) {
+// By the settings alone an idle connection would stay open for 36 s. A reset teaches the server's
+// idle time only if it follows the command at once, which a busy machine may miss; then the next
+// round counts.
+TEST(Router, IdleTimeoutOfAServerIsLearnedFromResets) {
   Peer server;
   ConfigText config = one_server(server);
   config.keepalive_us = 60'000'000;
@@ -353,14 +356,14 @@
   bool learned = false;
   for (int round = 0; round < 8 && !learned; ++round) {
     std::string id = "x" + std::to_string(round);
-    Link client = router.client();
+    TestConnection client = router.client();
     client.write(get(id, id));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     at_server.write(value_answer(id, "v"));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
-    learned = !at_server.silent(800);
+    learned = !at_server.stays_silent(800);
     if (learned) break;
     client.write(get(id + "b", id));
     EXPECT_EQ(id_of(at_server.line()), id + "b");
@@ -370,37 +373,37 @@
   EXPECT_TRUE(learned);
 }
 
-// Servers that close right after an answer, or are replaced, once taught an idle time of
-// milliseconds, and every request dialled anew.
-TEST(Router, EndsOfIdleConnectionsThatShowTeachNoIdleTime) {
+// Guards against learning an idle time of milliseconds from servers that close right after an
+// answer, or that are replaced: after that every request had to dial.
+TEST(Router, VisibleClosesOfIdleConnectionsDoNotLowerTheIdleTimeout) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   for (int k = 0; k < 3; ++k) {
     std::string id = "y" + std::to_string(k);
     client.write(get(id));
-    Link at_server = server.accept();
+    TestConnection at_server = server.accept();
     EXPECT_EQ(id_of(at_server.line()), id);
     at_server.write(value_answer(id, "v"));
     EXPECT_EQ(client.line(), "VA 1 O" + id + "\r\n");
     EXPECT_EQ(client.line(), "v\r\n");
   }
   client.write(get("y8"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   at_server.write(value_answer("y8", "v"));
   client.line(), client.line();
-  EXPECT_TRUE(at_server.silent(300));
+  EXPECT_TRUE(at_server.stays_silent(300));
   client.write(get("y9"));
   EXPECT_EQ(id_of(at_server.line()), "y9");  // on the same connection
 }
 
-// Twelve requests at once: none waits behind another.
-TEST(Router, WithinTheCapNoAttemptWaitsBehindAnother) {
+// Twelve requests at once, each on its own connection.
+TEST(Router, AttemptsWithinTheConnectionLimitAreNotPipelined) {
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
-  std::vector<Link> clients, at_server;
+  std::vector<TestConnection> clients, at_server;
   for (int k = 0; k < 12; ++k) {
     clients.push_back(router.client());
     clients.back().write(get("w" + std::to_string(k), "key" + std::to_string(k)));
@@ -414,156 +417,157 @@
   }
 }
 
-TEST(Router, BeyondTheCapAttemptsArePipelinedAndStillMatched) {
+TEST(Router, AttemptsBeyondTheConnectionLimitArePipelinedAndMatched) {
   Peer server;
   ConfigText config = one_server(server);
-  config.routers = 60;  // leaves one connection to a server
+  config.routers = 60;  // leaves one connection per server
   RunningRouter router(config);
-  Link one = router.client(), two = router.client();
+  TestConnection one = router.client(), two = router.client();
   one.write(get("n1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "n1");
   two.write(get("n2", "other"));
   EXPECT_EQ(id_of(at_server.line()), "n2");
-  EXPECT_TRUE(server.nobody_comes(50));
+  EXPECT_TRUE(server.no_connection_within(50));
   at_server.write(value_answer("n1", "1") + value_answer("n2", "2"));
   EXPECT_EQ(one.line(), "VA 1 On1\r\n");
   EXPECT_EQ(two.line(), "VA 1 On2\r\n");
 }
 
-TEST(Router, ACancelledAttemptLeavesItsNeighboursOnThePipeline) {
+TEST(Router, CancelledAttemptDoesNotAffectOthersOnItsPipeline) {
   Peer server;
   ConfigText config = one_server(server);
   config.routers = 60;
   RunningRouter router(config);
-  Link one = router.client(), two = router.client();
+  TestConnection one = router.client(), two = router.client();
   one.write(get("o1", "key", "200"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   two.write(get("o2", "other"));
   EXPECT_EQ(id_of(at_server.line()), "o2");
-  EXPECT_EQ(one.line().substr(0, 12), "SERVER_ERROR");  // its time is up, the attempt cancelled
+  EXPECT_EQ(one.line().substr(0, 12), "SERVER_ERROR");  // deadline passed, attempt cancelled
   at_server.write(value_answer("o1", "late") + value_answer("o2", "good"));
   EXPECT_EQ(two.line(), "VA 4 Oo2\r\n");
-  EXPECT_TRUE(one.silent(50));
+  EXPECT_TRUE(one.stays_silent(50));
 }
 
 // ---- discovery ----
 
-TEST(Discovery, TheWatchIsRenewedAndChangesTakeEffect) {
+TEST(Discovery, WatchIsRenewedAndChangesTakeEffect) {
   Peer discovery, before, after;
   ConfigText config;
   config.mode = "automatic";
   config.discovery = discovery.address();
   config.hosts = {host_json("s-1", before.address())};
   RunningRouter router(config);
-  EXPECT_EQ(answer_call(discovery, http(list_json(5, false, {}))).substr(0, 36),
+  EXPECT_EQ(answer_next_call(discovery, http(list_json(5, false, {}))).substr(0, 36),
             "GET /discovery/hosts?index=1&wait=1 ");
   std::string change = list_json(
       6, false,
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address(), "active")});
-  EXPECT_EQ(answer_call(discovery, http(change)).substr(0, 39),
+  EXPECT_EQ(answer_next_call(discovery, http(change)).substr(0, 39),
             "GET /discovery/hosts?index=5&wait=2000 ");
-  Link watch = discovery.accept();  // the next call has begun, so the change is in force
+  TestConnection watch = discovery.accept();  // the next call has started, so the change is applied
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=6&wait");
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("p1"));
-  Link at_server = after.accept();
+  TestConnection at_server = after.accept();
   EXPECT_EQ(id_of(at_server.line()), "p1");
-  EXPECT_TRUE(before.nobody_comes(0));
+  EXPECT_TRUE(before.no_connection_within(0));
 }
 
-TEST(Discovery, WhatIsNoListLeavesTheOldOneInForce) {
+TEST(Discovery, InvalidAnswersLeaveTheCurrentListInForce) {
   Peer discovery, server;
   ConfigText config = one_server(server);
   config.mode = "automatic";
   config.discovery = discovery.address();
   RunningRouter router(config);
-  answer_call(discovery, http("{\"seq\":5,\"whole\":true}"));
-  answer_call(discovery, http("not json"));
-  answer_call(discovery, http("{}", "503 Service Unavailable"));
-  Link again = discovery.accept();
-  Link client = router.client();
+  answer_next_call(discovery, http("{\"seq\":5,\"whole\":true}"));
+  answer_next_call(discovery, http("not json"));
+  answer_next_call(discovery, http("{}", "503 Service Unavailable"));
+  TestConnection again = discovery.accept();
+  TestConnection client = router.client();
   client.write(get("q1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "q1");
 }
 
 // ---- reload ----
 
-TEST(Reload, TheNewAddressIsAskedForItsWholeListWhileRequestsAndTheOldWatchGoOn) {
+TEST(Reload, NewAddressIsAskedForItsFullListWhileRequestsAndTheOldWatchContinue) {
   Peer old_one, new_one, before, after;
   ConfigText config;
   config.mode = "automatic";
   config.discovery = old_one.address();
   config.hosts = {host_json("s-1", before.address())};
   RunningRouter router(config);
-  answer_call(old_one, http(list_json(5, false, {})));
-  Link old_watch = old_one.accept();
+  answer_next_call(old_one, http(list_json(5, false, {})));
+  TestConnection old_watch = old_one.accept();
   EXPECT_EQ(old_watch.line().substr(0, 33), "GET /discovery/hosts?index=5&wait");
   for (std::string header = old_watch.line(); header.size() > 2;) header = old_watch.line();
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("R1"));
-  Link at_server = before.accept();
+  TestConnection at_server = before.accept();
   EXPECT_EQ(id_of(at_server.line()), "R1");
 
   config.discovery = new_one.address();
   router.reload(config.text());
-  Link call = new_one.accept();
+  TestConnection call = new_one.accept();
   EXPECT_EQ(call.line(), "GET /discovery/hosts HTTP/1.1\r\n");
-  // Before the new one answers, the old watch tells a drain: the list under way may be older.
+  // Before the new address answers, the old watch reports a drain. The list already requested may
+  // be older, so it is requested again.
   old_watch.write(http(list_json(
       6, false,
       {host_json("s-1", before.address(), "leaving"), host_json("s-2", after.address())})));
-  Link again = new_one.accept();
+  TestConnection again = new_one.accept();
   EXPECT_EQ(again.line(), "GET /discovery/hosts HTTP/1.1\r\n");
-  // The list that was under way knows nothing of the drain, and must not undo it.
+  // The list requested first does not contain the drain and must not undo it.
   std::string stale = http(list_json(1, true, {host_json("s-1", before.address())}));
   ::send(call.fd(), stale.data(), stale.size(), MSG_NOSIGNAL);
   char rest[1024];
   while (::recv(call.fd(), rest, sizeof rest, 0) > 0) {
   }
-  Link other = router.client();
+  TestConnection other = router.client();
   other.write(get("R2"));
-  Link at_new = after.accept();
+  TestConnection at_new = after.accept();
   EXPECT_EQ(id_of(at_new.line()), "R2");
   again.write(http(list_json(2, true, {host_json("s-2", after.address())})));
-  Link watch = new_one.accept();
+  TestConnection watch = new_one.accept();
   EXPECT_EQ(watch.line().substr(0, 33), "GET /discovery/hosts?index=2&wait");
-  EXPECT_TRUE(old_one.nobody_comes(0));
-  at_server.write(value_answer("R1", "good"));  // its connection and its request went on
+  EXPECT_TRUE(old_one.no_connection_within(0));
+  at_server.write(value_answer("R1", "good"));  // its connection and request were kept
   EXPECT_EQ(client.line(), "VA 4 OR1\r\n");
   at_new.write(value_answer("R2", "good"));
   EXPECT_EQ(other.line(), "VA 4 OR2\r\n");
 }
 
-TEST(Reload, AnAddressThatIsNotUpYetIsTriedAgainSoon) {
+TEST(Reload, NewAddressThatIsNotUpYetIsRetriedSoon) {
   Peer old_one, new_one;
   ConfigText config;
   config.mode = "automatic";
   config.discovery = old_one.address();
   RunningRouter router(config);
-  answer_call(old_one, http(list_json(5, false, {})));
+  answer_next_call(old_one, http(list_json(5, false, {})));
   config.discovery = new_one.address();
   router.reload(config.text());
-  answer_call(new_one, http("", "503 Service Unavailable"));
-  EXPECT_EQ(answer_call(new_one, http(list_json(7, true, {}))),
+  answer_next_call(new_one, http("", "503 Service Unavailable"));
+  EXPECT_EQ(answer_next_call(new_one, http(list_json(7, true, {}))),
             "GET /discovery/hosts HTTP/1.1\r\n");
-  EXPECT_EQ(answer_call(new_one, http(list_json(7, false, {}))).substr(0, 33),
+  EXPECT_EQ(answer_next_call(new_one, http(list_json(7, false, {}))).substr(0, 33),
             "GET /discovery/hosts?index=7&wait");
 }
 
-TEST(Reload, WhatCantBeUsedChangesNothing) {
+TEST(Reload, InvalidConfigurationChangesNothing) {
   Peer server;
   ConfigText config = one_server(server);
   RunningRouter router(config);
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string half = config.text().substr(0, 300);
   config.discovery = "nowhere";
   for (const std::string& text : {half, std::string(), std::string("[]"), config.text()})
     router.reload(text);
   client.write(get("R3"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "R3");
   at_server.write(value_answer("R3", "good"));
   EXPECT_EQ(client.line(), "VA 4 OR3\r\n");
@@ -571,86 +575,87 @@
 
 // ---- peers that misbehave ----
 
-TEST(BadClient, WhatOnlyTheRouterKnowsIsCheckedBeforeItIsPassedOn) {
+TEST(BadClient, ClassKeyAndIdAreCheckedBeforeForwarding) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link bad = router.client(), good = router.client();
+  TestConnection bad = router.client(), good = router.client();
   bad.write("mg key v OB1 Pc=nosuch,t=acme,d=480\r\n");
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  bad.write("ms key 1 OB2 Pc=put,t=acme,d=480\r\nx\r\n");  // a keyed class without its key
+  bad.write("ms key 1 OB2 Pc=put,t=acme,d=480\r\nx\r\n");  // a keyed class without idempotency key
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   bad.write("mg key v OB3 Pc=put,t=acme,d=480,k=77\r\n");  // a keyed class that reads
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(server.nobody_comes(0));
+  EXPECT_TRUE(server.no_connection_within(0));
   good.write(get("B4"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "B4");
-  bad.write(get("B4"));  // another client's, while it is open and right after
+  bad.write(get("B4"));  // id of another client's request, open or just finished
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
   at_server.write(value_answer("B4", "good"));
   EXPECT_EQ(good.line(), "VA 4 OB4\r\n");
   EXPECT_EQ(good.line(), "good\r\n");
   bad.write(get("B4"));
   EXPECT_EQ(bad.line().substr(0, 12), "CLIENT_ERROR");
-  EXPECT_TRUE(at_server.silent(0));
+  EXPECT_TRUE(at_server.stays_silent(0));
 }
 
-TEST(BadClient, OneThatSaysNothingOrHalfACommandIsClosed) {
+TEST(BadClient, SilentClientOrHalfACommandIsDisconnected) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link silent = router.client(), half = router.client(), value = router.client();
+  TestConnection silent = router.client(), half = router.client(), value = router.client();
   half.write("mg key v OB5 Pc=re");
   value.write("ms key 60000 OB6 Pc=put,t=acme,d=480,k=77\r\nabc");
-  EXPECT_TRUE(silent.ends());
-  EXPECT_TRUE(half.ends());
-  EXPECT_TRUE(value.ends());
+  EXPECT_TRUE(silent.is_closed());
+  EXPECT_TRUE(half.is_closed());
+  EXPECT_TRUE(value.is_closed());
 }
 
-TEST(BadClient, SilentConnectionsDoNotKeepOthersOut) {
+TEST(BadClient, SilentConnectionsDoNotBlockOtherClients) {
   Peer server;
   ConfigText config = one_server(server);
   config.sockets = 64;
   RunningRouter router(config);
-  std::vector<Link> silent;
+  std::vector<TestConnection> silent;
   for (int k = 0; k < 60; ++k) silent.push_back(router.client());
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("B7"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   EXPECT_EQ(id_of(at_server.line()), "B7");
 }
 
-TEST(BadClient, ManyCommandsAtOnceAreAllAnsweredInOrder) {
+TEST(BadClient, ManyCommandsInOneWriteAreAllAnsweredInOrder) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client();
+  TestConnection client = router.client();
   std::string many;
   for (int k = 0; k < 500; ++k) many += k % 2 ? "mn\r\n" : "nonsense\r\n";
   client.write(many);
   for (int k = 0; k < 500; ++k) EXPECT_EQ(client.line(), k % 2 ? "MN\r\n" : "ERROR\r\n");
 }
 
-TEST_F(Spoiled, BytesBehindAGoodAnswerSpoilOnlyTheirConnection) {
+TEST_F(FailedAttempt, BytesAfterAValidAnswerOnlyCloseTheirConnection) {
   start(get("S1"));
   link_.line();
   link_.write(value_answer("S1", "good") + "VA 9");  // the beginning of something
   EXPECT_EQ(client_.line(), "VA 4 OS1\r\n");
   EXPECT_EQ(client_.line(), "good\r\n");
-  EXPECT_TRUE(link_.ends());
+  EXPECT_TRUE(link_.is_closed());
 }
 
-TEST_F(Spoiled, AnAnswerThatTricklesDoesNotKeepItsConnectionForGood) {
+TEST_F(FailedAttempt, TricklingAnswerDoesNotHoldItsConnectionForever) {
   start(get("S2", "key", "300"));
   link_.line();
   bool ended = false;
-  for (int k = 0; k < 2000 && !ended; ++k) {  // 20 s of it at most
+  for (int k = 0; k < 2000 && !ended; ++k) {  // at most 20 s
     if (::send(link_.fd(), "x", 1, MSG_NOSIGNAL) != 1) ended = true;
-    ended = ended || !link_.silent(10);
+    ended = ended || !link_.stays_silent(10);
   }
   EXPECT_TRUE(ended);
 }
 
-/// Two good servers and one that answers a fifth of what it gets, the rest with `failure`.
-void expect_an_outlier_is_avoided(const std::string& failure) {
+/// Two good servers and one that serves a fifth of its requests and answers the rest with
+/// `failure`.
+void expect_outlier_is_avoided(const std::string& failure) {
   std::atomic<int> asked{0};
   const std::string load = " Lload_share=0.2,mean_ms=4,x0=0.9";
   auto good = [&](const std::string& line) { return value_answer(id_of(line), "v", load); };
@@ -661,7 +666,7 @@
   c.hosts = {host_json("s-1", first.address()), host_json("s-2", second.address()),
              host_json("s-3", bad.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   int unserved = 0;
   for (int k = 0; k < 600; ++k) {
     if (k == 300) asked = 0, unserved = 0;
@@ -671,21 +676,22 @@
     else
       ++unserved;
   }
-  EXPECT_LT(asked, 60) << failure;  // of some 100 that would be its part
-  EXPECT_GT(asked, 0) << failure;   // it is still seen
+  EXPECT_LT(asked, 60) << failure;  // its share would be about 100
+  EXPECT_GT(asked, 0) << failure;   // it is still probed
   EXPECT_LE(unserved, 3) << failure;
 }
 
-// Guards against: half a server's answers taken for health and its failures for the fleet's load.
-// Each success cleared all doubt of it, its errors were not retried, and the doors shut for it.
-TEST(Router, AServerThatFailsMostRequestsIsAvoidedWhateverItSays) {
-  expect_an_outlier_is_avoided("SERVER_ERROR busy");
-  expect_an_outlier_is_avoided("SERVER_ERROR failed");
+// Guards against a server that serves some requests being judged healthy and its failures being
+// taken for overload of the whole fleet: each success reset its failure evidence, its errors were
+// not retried, and admission shed requests because of it.
+TEST(Router, ServerThatFailsMostRequestsIsAvoidedWhateverItsError) {
+  expect_outlier_is_avoided("SERVER_ERROR busy");
+  expect_outlier_is_avoided("SERVER_ERROR failed");
 }
 
-// Guards against: connections that break under one request in five, at every server alike. They
-// cost servers next to nothing, but their retries used up the budget and the rest was refused.
-TEST(Router, RequestsOnConnectionsThatBreakAreServedElsewhere) {
+// Guards against refusals when connections break under one request in five at every server: these
+// breaks cost the servers almost nothing, but their retries used up the retry budget.
+TEST(Router, RequestsOnBrokenConnectionsAreServedByOtherServers) {
   std::atomic<int> asked{0};
   auto serve = [&](const std::string& line) {
     return ++asked % 5 == 0 ? std::string() : value_answer(id_of(line), "v");
@@ -695,7 +701,7 @@
   c.hosts = {host_json("s-1", first.address()), host_json("s-2", second.address()),
              host_json("s-3", third.address())};
   RunningRouter router(c);
-  Link client = router.client();
+  TestConnection client = router.client();
   int unserved = 0;
   for (int k = 0; k < 500; ++k) {
     client.write(get("p" + std::to_string(k), "key" + std::to_string(k)));
@@ -707,14 +713,15 @@
   EXPECT_LE(unserved, 2);
 }
 
-// A jam leaves attempts that nobody waits for any more, each on a connection that is not idle.
-TEST(ServerSide, ConnectionsOnlyAbandonedAttemptsWaitOnMakeRoom) {
+// An origin overload leaves abandoned attempts, each on a connection that is not idle. Guards
+// against such connections using up the router's connection limit.
+TEST(ServerSide, ConnectionsWithOnlyAbandonedAttemptsAreReplaced) {
   Peer server;
   ConfigText config = one_server(server);
-  config.sockets = 64;  // of them 13 for servers
+  config.sockets = 64;  // 13 of them for servers
   config.may_cancel = false;
   RunningRouter router(config);
-  std::vector<Link> clients, silent;
+  std::vector<TestConnection> clients, silent;
   for (int k = 0; k < 13; ++k) {
     std::string id = "V" + std::to_string(k);
     clients.push_back(router.client());
@@ -722,13 +729,13 @@
     silent.push_back(server.accept());
     EXPECT_EQ(id_of(silent.back().line()), id);
   }
-  for (Link& client : clients) EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
+  for (TestConnection& client : clients) EXPECT_EQ(client.line().substr(0, 12), "SERVER_ERROR");
   bool reached = false;
-  for (int k = 0; k < 40 && !reached; ++k) {  // the door may be shut to some keys by now
+  for (int k = 0; k < 40 && !reached; ++k) {  // admission may shed some keys by now
     std::string id = "W" + std::to_string(k);
     clients[0].write(get(id, id));
     std::vector<pollfd> fds = {{server.fd(), POLLIN, 0}, {clients[0].fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(fds.data(), fds.size(), kPatienceMs), 0);
+    ASSERT_GT(::poll(fds.data(), fds.size(), kTestTimeoutMs), 0);
     reached = fds[0].revents != 0;
     if (!reached) {
       EXPECT_EQ(clients[0].line().substr(0, 12), "SERVER_ERROR");
@@ -737,13 +744,14 @@
   EXPECT_TRUE(reached);
 }
 
-/// Counts how attempts end, at a server side of its own whose clock stands still.
-struct Storm final : ServerSide::Handler {
-  struct Still final : TimeSource {
+/// Counts attempt results at a ServerSide whose clock stands still.
+struct AbandonedAttempts final : ServerSide::Handler {
+  struct FrozenClock final : TimeSource {
     Micros now() const override { return 1'000'000 * kSecond; }
   };
-  explicit Storm(const std::string& dial) : side(base.get(), clock, *this, limits(), nullptr) {
-    side.take_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
+  explicit AbandonedAttempts(const std::string& dial)
+      : side(base.get(), clock, *this, limits(), nullptr) {
+    side.apply_list(parse_host_list(list_json(1, true, {host_json("s-1", dial)})));
   }
   static ServerSide::Limits limits() {
     ServerSide::Limits l;
@@ -751,8 +759,8 @@
     return l;
   }
   void on_attempt_end(RequestId, int, Status status, AttemptResult&&) override { ++ends[status]; }
-  /// Sends one attempt and, once it has gone out whole, gives it up.
-  void ask_and_give_up() {
+  /// Sends one attempt and cancels it once it has been written completely.
+  void send_and_cancel() {
     Request r;
     r.key = "key", r.id = "S" + std::to_string(++asked), r.type = "read", r.tenant = "acme";
     std::uint64_t written = side.counts().written;
@@ -765,78 +773,80 @@
     side.cancel("s-1", asked, 0);
   }
   EventBasePtr base{event_base_new()};
-  Still clock;
+  FrozenClock clock;
   ServerSide side;
   std::map<Status, int> ends;
   RequestId asked = 0;
 };
 
-// Protects against: a handshake for each attempt that is given up, 939 in 5 s of one bad day.
-TEST(ServerSide, GivingUpCostsNoMoreHandshakesThanAnswersPayFor) {
+// Guards against one handshake per abandoned attempt; a run once made 939 in 5 s.
+TEST(ServerSide, AbandonedAttemptsCauseNoMoreHandshakesThanAnswersAllow) {
   Peer server;
-  Storm storm(server.address());
-  const std::size_t pool = Storm::limits().per_server;
-  for (int k = 0; k < 100; ++k) storm.ask_and_give_up();
-  // One whole pool is closed and dialled again, the next is kept; what finds no place is not sent.
-  EXPECT_EQ(storm.side.counts().dials, 2 * pool);
-  EXPECT_EQ(storm.side.connections(), pool);
-  EXPECT_EQ(storm.ends[Status::NotSent], 100 - static_cast<int>(2 * pool));
-  EXPECT_EQ(storm.ends[Status::ConnectFailed], 0) << "that would be held against the server";
-  // Its answers come after all: the connections are used again.
-  std::vector<Link> links;
+  AbandonedAttempts attempts(server.address());
+  const std::size_t pool = AbandonedAttempts::limits().max_connections_per_server;
+  for (int k = 0; k < 100; ++k) attempts.send_and_cancel();
+  // One full pool is closed and redialled, the next is kept; attempts beyond it are not sent.
+  EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
+  EXPECT_EQ(attempts.side.connections(), pool);
+  EXPECT_EQ(attempts.ends[Status::NotSent], 100 - static_cast<int>(2 * pool));
+  EXPECT_EQ(attempts.ends[Status::ConnectFailed], 0) << "would count as a failure of the server";
+  // The server answers late after all: its connections are reused.
+  std::vector<TestConnection> links;
   for (std::size_t k = 0; k < 2 * pool; ++k) links.push_back(server.accept());
   for (std::size_t k = pool; k < links.size(); ++k)
     links[k].write(value_answer(id_of(links[k].line()), "late"));
-  while (storm.side.counts().late_answers < pool) event_base_loop(storm.base.get(), EVLOOP_ONCE);
-  storm.ask_and_give_up();
-  EXPECT_EQ(storm.side.counts().dials, 2 * pool);
+  while (attempts.side.counts().late_answers < pool)
+    event_base_loop(attempts.base.get(), EVLOOP_ONCE);
+  attempts.send_and_cancel();
+  EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
 }
 
-// Ids are ever new, and a watch may tell of changes alone.
-TEST(ServerSide, ServersThatAreGoneAreForgottenUnderChangesAlone) {
-  struct Nobody final : ServerSide::Handler {
+// Server ids are never reused, and a watch may send only changes. Guards against state that grows
+// with each replaced server.
+TEST(ServerSide, ServersThatLeftAreForgottenWhenOnlyChangesAreReceived) {
+  struct IgnoringHandler final : ServerSide::Handler {
     void on_attempt_end(RequestId, int, Status, AttemptResult&&) override {}
-  } nobody;
+  } handler;
   EventBasePtr base(event_base_new());
   Clock clock;
-  ServerSide side(base.get(), clock, nobody, {}, nullptr);
+  ServerSide side(base.get(), clock, handler, {}, nullptr);
   std::string last = "s-0";
-  side.take_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
+  side.apply_list(parse_host_list(list_json(1, true, {host_json(last, "127.0.0.1:9")})));
   for (int k = 1; k < 100; ++k) {
     std::string next = "s-" + std::to_string(k);
-    side.take_list(parse_host_list(list_json(
+    side.apply_list(parse_host_list(list_json(
         k + 1, false, {host_json(next, "127.0.0.1:9"), host_json(last, "127.0.0.1:9", "left")})));
     EXPECT_EQ(side.servers(), 1u);
     last = next;
   }
 }
 
-TEST(ServerSide, WhatWasOpenToTheOldServerOfAnAddressIsNotUsedForTheNewOne) {
+TEST(ServerSide, ConnectionsToAnAddressAreNotReusedForItsNewServer) {
   Peer discovery, server;
   ConfigText config = one_server(server);
   config.mode = "automatic";
   config.discovery = discovery.address();
   RunningRouter router(config);
-  answer_call(discovery, http(list_json(5, false, {})));
-  Link watch = discovery.accept();
+  answer_next_call(discovery, http(list_json(5, false, {})));
+  TestConnection watch = discovery.accept();
   for (std::string header = watch.line(); header.size() > 2;) header = watch.line();
-  Link client = router.client();
+  TestConnection client = router.client();
   client.write(get("U1"));
-  Link old_one = server.accept();
+  TestConnection old_one = server.accept();
   EXPECT_EQ(id_of(old_one.line()), "U1");
   old_one.write(value_answer("U1", "v"));
   EXPECT_EQ(client.line(), "VA 1 OU1\r\n");
   EXPECT_EQ(client.line(), "v\r\n");
-  // The replacement is listed before the old one is told to be gone.
+  // The replacement is listed before the old server is reported as gone.
   watch.write(http(list_json(6, false, {host_json("s-2", server.address(), "active", 5000)})));
-  EXPECT_TRUE(old_one.ends());
+  EXPECT_TRUE(old_one.is_closed());
   client.write(get("U2"));
-  Link new_one = server.accept();
+  TestConnection new_one = server.accept();
   EXPECT_EQ(id_of(new_one.line()), "U2");
 }
 
-TEST(ServerSide, AServerWithoutConnectionsGetsOneWhereAllAreTaken) {
-  std::vector<Peer> peers(16);  // of 64 descriptors, servers get 13
+TEST(ServerSide, ServerWithoutConnectionsGetsOneWhenTheLimitIsReached) {
+  std::vector<Peer> peers(16);  // 13 of the 64 descriptors are for servers
   ConfigText config;
   config.sockets = 64;
   for (std::size_t k = 0; k < peers.size(); ++k)
@@ -844,10 +854,11 @@
   RunningRouter router(config);
   std::vector<Peer*> all;
   for (Peer& p : peers) all.push_back(&p);
-  std::vector<Link> links(peers.size());
+  std::vector<TestConnection> links(peers.size());
   std::vector<bool> seen(peers.size());
-  Link client = router.client();
-  // Ever new keys, one at a time, until each server had one: all but one connection are idle then.
+  TestConnection client = router.client();
+  // New keys, one at a time, until each server has had one. At any time all but one connection are
+  // idle.
   std::size_t reached = 0;
   for (int k = 0; k < 2000 && reached < peers.size(); ++k) {
     std::string id = "T" + std::to_string(k);
@@ -858,8 +869,8 @@
     fds.push_back({client.fd(), POLLIN, 0});
     bool answered = false;
     while (!answered) {
-      ASSERT_GT(::poll(fds.data(), fds.size(), kPatienceMs), 0);
-      ASSERT_EQ(fds.back().revents, 0) << client.line();  // refused: it had no connection
+      ASSERT_GT(::poll(fds.data(), fds.size(), kTestTimeoutMs), 0);
+      ASSERT_EQ(fds.back().revents, 0) << client.line();  // refused: no connection for it
       for (std::size_t p = 0; p < peers.size() && !answered; ++p) {
         if (fds[p].revents) {
           links[p] = peers[p].accept();
@@ -868,7 +879,7 @@
           continue;
         }
         std::string line = links[p].line();
-        if (line.empty()) {  // made room
+        if (line.empty()) {  // evicted for another server
           links[p].close();
           fds[peers.size() + p].fd = -1;
           continue;
@@ -883,26 +894,26 @@
   EXPECT_EQ(reached, peers.size());
 }
 
-// ---- planned end ----
+// ---- planned shutdown ----
 
-TEST(Router, ATerminatedRouterTakesNewConnectionsForAWhileAnswersAllAndEnds) {
+TEST(Router, TerminatedRouterAcceptsConnectionsForAWhileAnswersAllAndEnds) {
   Peer server;
   RunningRouter router(one_server(server));
-  Link client = router.client(), idle = router.client();
+  TestConnection client = router.client(), idle = router.client();
   idle.write("mn\r\n");
   EXPECT_EQ(idle.line(), "MN\r\n");
   client.write(get("r1"));
-  Link at_server = server.accept();
+  TestConnection at_server = server.accept();
   at_server.line();
   router.terminate();
-  Link late = router.client();
+  TestConnection late = router.client();
   late.write("mn\r\n");
   EXPECT_EQ(late.line(), "MN\r\n");
-  EXPECT_TRUE(idle.ends());  // between requests
+  EXPECT_TRUE(idle.is_closed());  // between requests
   at_server.write(value_answer("r1", "good"));
   EXPECT_EQ(client.line(), "VA 4 Or1\r\n");
   EXPECT_EQ(client.line(), "good\r\n");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.is_closed());
   client.close(), idle.close(), late.close();
   router.wait_for_end();
 }
