--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,4 @@
-// The smallest router around a Balancer: events go in with the time, actions come out.
+// Minimal use of a Balancer: report events with their time and carry out the returned actions.
 #include <cstdio>
 #include <robinseam/balancer.hpp>
 
--- a/include/robinseam/balancer.hpp
+++ b/include/robinseam/balancer.hpp
@@ -1,13 +1,13 @@
-// robinseam: the decisions of a router in front of a fleet of cache servers.
+// Public interface of robinseam, the decision module of a router in front of cache servers.
 //
 // One Balancer decides for one router. It does no I/O, reads no clock, starts no thread and keeps
 // no global state: the router reports events with the time they happened, and each call returns the
-// actions to take at that same time, in order. The same events and seed give the same actions on
-// every machine. Calls on one Balancer must not overlap; different Balancers are independent.
+// actions to carry out at that same time, in order. The same events and seed give the same actions
+// on every machine. Calls on one Balancer must not overlap; different Balancers are independent.
 //
-// All times and durations are microseconds. A time only has meaning relative to other times given
-// to the same Balancer, and must not run backwards (an earlier time is taken as the latest one
-// seen).
+// All times and durations are in microseconds. A time only has meaning relative to other times
+// given to the same Balancer, and must not run backwards (an earlier time counts as the latest one
+// given).
 #pragma once
 
 #include <cstdint>
@@ -23,11 +23,11 @@
 using Micros = std::int64_t;
 using RequestId = std::uint64_t;
 
-/// What repeating a request may do.
+/// Whether a request may run more than once.
 enum class Effect {
   Repeatable,  ///< safe to run any number of times
-  Keyed,       ///< repeats are dropped inside a group of servers for `key_ttl`
-  Once,        ///< must not run twice; nothing drops repeats
+  Keyed,       ///< a group of servers drops repeats for `key_ttl`
+  Once,        ///< must not run twice; no server drops repeats
 };
 
 /// Which servers drop repeats of a Keyed request.
@@ -36,20 +36,20 @@
 struct ClassSettings {
   std::string name;
   Micros latency_objective = 0;  ///< an answer within this time earns full worth
-  Micros deadline = 0;           ///< the client's whole patience, all its tries together
+  Micros deadline = 0;           ///< how long the client waits, over all its tries
   double worth = 1;              ///< per request, or per unit of work (Settings::worth_by_work)
-  double late_worth = 0;         ///< part of the worth for an answer after the aim, 0 to 1
+  double late_worth = 0;         ///< fraction of the worth for an answer after the objective
   Effect effect = Effect::Repeatable;
   Group group = Group::All;  ///< for Keyed
-  Micros key_ttl = 0;        ///< for Keyed: from the send of the first attempt that may have run
-  bool streamed = false;     ///< answers start with on_answer_start
+  Micros key_ttl = 0;     ///< for Keyed: counted from sending the first attempt that may have run
+  bool streamed = false;  ///< answers start with on_answer_start
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct TenantSettings {
   std::string name;
-  double portion = 0;      ///< its portion of the service, 0 to 1
-  double quota_per_s = 0;  ///< requests a second over all routers; 0 = no quota
+  double portion = 0;      ///< its share of the service, 0 to 1
+  double quota_per_s = 0;  ///< requests per second over all routers; 0 = no quota
   bool operator==(const TenantSettings&) const = default;
 };
 
@@ -66,8 +66,8 @@
   Unknown,
 };
 
-/// Start-up settings. Validated by the Balancer constructor, which throws std::invalid_argument
-/// naming the setting when it cannot be used (no classes, a negative or non-finite number, a share
+/// Start-up settings. The Balancer constructor validates them and throws std::invalid_argument
+/// naming the setting that cannot be used (no classes, a negative or non-finite number, a share
 /// above 1).
 struct Settings {
   std::vector<ClassSettings> classes;
@@ -76,29 +76,31 @@
   std::string zone;                ///< the router's own zone; may be empty
   std::vector<std::string> zones;  ///< all zones
   std::string origin_kind;         ///< cache-aside mode: servers of this kind are the origin
-  bool cache_aside = false;        ///< misses come back to the router, which asks the origin
-  int routers = 1;                 ///< routers in the tier, this one included
-  bool poll_list = false;          ///< the list comes only on WatchList or FetchList
+  bool cache_aside = false;        ///< a miss returns to the router, which asks the origin
+  int routers = 1;                 ///< routers in the tier, including this one
+  bool poll_list = false;          ///< the server list arrives only after WatchList or FetchList
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_hedge = false;  ///< a request may have two attempts out together
+  bool may_hedge = false;  ///< a request may have two attempts in flight
   bool worth_by_work = false;
-  bool weights_listed = false;  ///< Server::weight carries a size
+  bool weights_listed = false;  ///< Server::weight is the server's relative size
   int max_attempts = 1;
-  Micros max_retry_after = 0;  ///< the longest Refuse::wait
-  Micros tick = 1000;          ///< the shortest time between two calls' actions taking effect
+  Micros max_retry_after = 0;  ///< upper bound of Refuse::retry_after
+  Micros tick = 1000;          ///< shortest time between the effects of two calls' actions
   double cross_zone_charge = 0;
   double waste_charge = 0;
   double late_fail_charge = 0;
   double over_share_worth = 1;
-  // The figures of the rules.
+  // Parameters of the service rules.
   Micros answer_slack = 0;
   Micros max_poll_delay = 10'000'000;
   Micros drain_grace = 0;
-  double cold_share = 0.3;     ///< a cold server starts at no less than this part of its capacity
-  Micros cold_time = 0;        ///< and is warm no later than this
-  double overload_factor = 3;  ///< sent more than this multiple of its capacity
-  Micros overload_time = 1'500'000;  ///< for this long, a cold server falls over
+  double cold_share = 0.3;  ///< fraction of its capacity that a cold server starts with, at least
+  Micros cold_time = 0;     ///< a server is warm after this time at the latest
+  // A cold server fails when it is sent more than `overload_factor` times its capacity for
+  // `overload_time`.
+  double overload_factor = 3;
+  Micros overload_time = 1'500'000;
   bool operator==(const Settings&) const = default;
 };
 
@@ -108,7 +110,7 @@
   std::string id;
   std::string zone;
   std::string kind;
-  std::int64_t cell = -1;  ///< servers of one cell share the keys they have seen; -1 = none
+  std::int64_t cell = -1;  ///< servers of one cell share their idempotency keys; -1 = none
   Health health = Health::Ready;
   double weight = 1;
   Micros up_since = 0;  ///< 0 = long ago
@@ -117,40 +119,42 @@
 enum class ListScope {
   Delta,       ///< only the entries that changed
   Full,        ///< the complete list
-  Cached,      ///< the complete list as last held, perhaps out of date
-  Unverified,  ///< the same, and likely out of date: discovery is asked at once
+  Cached,      ///< the last complete list known, possibly out of date
+  Unverified,  ///< the same, and probably out of date: discovery is polled at once
   Failed,      ///< a WatchList or FetchList failed, or the watch broke
 };
 
 struct Request {
   RequestId id = 0;
-  std::string class_name;      ///< the name of its class; an unknown one is treated as the first
+  std::string class_name;      ///< an unknown class counts as the first one
   std::string tenant;          ///< may be empty
-  std::string key;             ///< requests of one key go together; may be empty
-  Micros remaining = 0;        ///< until the client gives this try up
+  std::string key;             ///< requests of one key go to the same servers; may be empty
+  Micros remaining = 0;        ///< time until the client abandons this try
   std::optional<Micros> work;  ///< expected work, as time on a standard core
-  bool retry = false;          ///< its client marked it as its own further try
+  bool retry = false;          ///< the client marked it as a retry
   bool write = false;
-  bool lacks_idempotency_key =
-      false;                    ///< has no idempotency key: in a Keyed class it is treated as Once
-  std::string idempotency_key;  ///< a keyed write's; empty: its tries can't be told to be the same
+  bool lacks_idempotency_key = false;  ///< a Keyed request without one is treated as Once
+  std::string
+      idempotency_key;  ///< of a Keyed write; empty: its tries cannot be matched to each other
 };
 
+/// How an attempt ended.
 enum class Status {
   Ok,
   Error,            ///< may have run
-  Rejected,         ///< turned away unseen
-  Timeout,          ///< may have run or be running
-  ConnectFailed,    ///< never ran
+  Rejected,         ///< the server is full and rejected it without running it
+  Timeout,          ///< may have run or may still run
+  ConnectFailed,    ///< did not run
   Reset,            ///< may have run
   Cancelled,        ///< may have run
-  NotSent,          ///< never sent
-  Miss,             ///< aside mode: nothing held there for the key
-  Malformed,        ///< answered with what can't be read, or behind such an answer; may have run
-  ConnectionLimit,  ///< the server is well and has no room for one more connection; never ran
+  NotSent,          ///< did not run
+  Miss,             ///< cache-aside mode: the server does not hold the key
+  Malformed,        ///< unreadable answer, or queued behind one on the connection; may have run
+  ConnectionLimit,  ///< the healthy server accepts no more connections; did not run
 };
 constexpr std::size_t kStatusCount = 11;
 
+/// The end of one attempt.
 struct Outcome {
   RequestId id = 0;
   bool finished = false;  ///< the request has ended, now or earlier
@@ -158,9 +162,9 @@
   Status status = Status::Ok;
   Micros latency = 0;
   int attempt = 0;
-  int cache_result = 0;        ///< 1 hit, 2 miss, 3 miss with a fetch already out, 0 not told
+  int cache_result = 0;  ///< 0 unknown, 1 hit, 2 miss, 3 miss while a fetch was already in flight
   std::vector<double> report;  ///< as in Settings::report_fields; may be empty or shorter
-  /// Nobody waits for a further attempt now; on_resume() tells when somebody does.
+  /// No client is waiting for a further attempt; on_resume() reports when one is again.
   bool paused = false;
 };
 
@@ -168,25 +172,28 @@
 struct Send {
   RequestId id;
   std::string server;
-  Micros timeout;  ///< 0 = until the client quits
+  Micros timeout;  ///< 0 = until the client gives up
 };
+/// Final answer: retrying is harmless.
 struct Refuse {
   RequestId id;
   Micros retry_after;
-};  ///< final: trying again is harmless
+};
+/// Final answer: promises nothing; the request may have run.
 struct Fail {
   RequestId id;
-};  ///< final: promises nothing
+};
 struct Cancel {
   RequestId id;
   int attempt;
 };
-struct WatchList {};  ///< ask for changes of the list from now on
-struct FetchList {};  ///< ask for the whole list once
+struct WatchList {};  ///< subscribe to changes of the server list
+struct FetchList {};  ///< request the full server list once
+/// Call on_timer(token) after `delay`.
 struct Timer {
   Micros delay;
   std::uint64_t token;
-};  ///< call on_timer(token) then
+};
 struct Probe {
   std::string server;
 };
@@ -199,64 +206,65 @@
 using LimitFactory = std::function<std::unique_ptr<Rule>(LimitTarget)>;
 }  // namespace limits
 
-/// Decides for one router. Contract breaches are harmless: an outcome, end or timer for a request
-/// or server this Balancer does not know is ignored, as is a second on_request with an id still
-/// open.
+/// Makes the decisions of one router. Calls that break the contract are harmless: an outcome, end
+/// or timer for a request or server that this Balancer does not know is ignored, and so is
+/// on_request with the id of a request that is still open.
 class Balancer {
  public:
-  /// Throws std::invalid_argument when `settings` cannot be used. `rules`: what limits attempts, in
-  /// place of the windows that service runs on; for experiments.
+  /// Throws std::invalid_argument when `settings` cannot be used. `rules` replaces the concurrency
+  /// windows used in production; for experiments.
   Balancer(const Settings& settings, std::uint64_t seed, Micros now,
            const limits::LimitFactory& rules = {});
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  /// Actions owed at the start (asking for the list, the first timer). Call once.
+  /// Returns the initial actions (polling the list, the first timer). Call once.
   Actions start(Micros now);
   Actions on_list(Micros now, ListScope scope, const std::vector<Server>& entries);
   Actions on_request(Micros now, const Request& request);
+  /// A streamed answer has begun: no further attempts follow.
   Actions on_answer_start(Micros now, RequestId id, const std::string& server, int attempt,
                           Micros latency);
   Actions on_outcome(Micros now, const Outcome& outcome);
-  /// Somebody waits again for a request whose last outcome was held: it goes on or is ended.
+  /// A client waits again for a request whose last outcome was paused: it is retried or ended.
   Actions on_resume(Micros now, RequestId id);
-  /// The client left; nothing more is owed.
+  /// The client disconnected; it needs no answer.
   Actions on_client_gone(Micros now, RequestId id);
   Actions on_timer(Micros now, std::uint64_t token);
   Actions on_probe_result(Micros now, const std::string& server, Status status, Micros latency,
                           const std::vector<double>& report);
 
-  /// Figures for tests and for the router's own metrics.
+  /// Figures for tests and for the router's own metrics. Rates and shares are recent averages.
   struct Stats {
     std::size_t open_requests = 0;
     std::size_t saved_seeds = 0;
     std::size_t tracked_keys = 0;
     std::size_t servers = 0;
-    std::uint64_t draws = 0;  ///< LCG draws since the start
-    /// Refused at the door, for want of a server, and after attempts that never ran.
+    std::uint64_t draws = 0;  ///< slot draws since the start
+    /// Requests refused at admission, refused because no server was available, and ended unserved
+    /// after at least one attempt.
     std::uint64_t shed = 0, unroutable = 0, failed_after_attempts = 0;
-    /// Further attempts after the last had ended, copies beside one that was out, and attempts at
-    /// servers judged dead that have not answered since.
+    /// Further attempts after the previous one ended, attempts beside one in flight, and attempts
+    /// at servers judged down that have not answered since.
     std::uint64_t retries = 0, hedges = 0, trials = 0;
-    double uncached_shed_share = 0,
-           cached_shed_share = 0;  ///< parts refused lately, of keys to fetch and of those held
-    double fetch_limit = 0,
-           fetches_in_flight = 0;  ///< fetches from the origin: may be out, and are
-    /// Per attempt lately.
+    /// Share of requests refused at admission, of uncached and of cached keys.
+    double uncached_shed_share = 0, cached_shed_share = 0;
+    double fetch_limit = 0, fetches_in_flight = 0;  ///< fetches from the origin
+    /// Per attempt.
     double late_rate = 0, error_rate = 0, rejected_rate = 0, unreachable_rate = 0,
            malformed_rate = 0;
-    double utilization = 0;            ///< mean of reports lately
-    double live_servers = 0;           ///< servers, by the part that is live
-    double zone_affinity = 0;          ///< part of foreign segments that is passed over, 0 to 1
-    int restart_verdict = 0;           ///< 0: not settled, 1: alone, 2: with others of its tier
+    double utilization = 0;    ///< mean of the servers' reports
+    double live_servers = 0;   ///< sum of the servers' live fractions
+    double zone_affinity = 0;  ///< fraction of other zones' segments that are skipped, 0 to 1
+    int restart_verdict = 0;   ///< 0: undecided, 1: restarted alone, 2: with the rest of the tier
     std::size_t tracked_writes = 0;    ///< keyed writes whose first send is remembered
-    std::uint64_t evicted_writes = 0;  ///< before their time, for want of room
+    std::uint64_t evicted_writes = 0;  ///< forgotten early because the table was full
   };
   Stats stats() const;
-  /// Where an idle fleet would serve the key's first request now: the server id, or empty.
+  /// The id of the server that an idle fleet would use for the key's first request now, or empty.
   std::string home_server(const std::string& key) const;
-  /// The part of its slots a listed server is live over now, 0 to 1.
+  /// The fraction of its slots in which a listed server currently takes requests, 0 to 1.
   double live_fraction(const std::string& server) const;
 
  private:
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,4 +1,5 @@
-// Every decision of robinseam, from top to bottom:
+// The decision module: choice of servers, server health, admission, retries and hedging, and
+// polling of the server list. Sections from top to bottom:
 //   tunables, state, segments, saved seeds, server health, admission, attempts, list.
 #include <algorithm>
 #include <array>
@@ -25,233 +26,269 @@
 
 // ---- tunables ----
 constexpr Micros kSecond = 1'000'000;
-// Segments. 2^15 slots with 32 for a unit of weight: about 1% of the interval for ten servers, 25%
-// for 250.
+// Segments: 2^15 slots, 32 per unit of weight. Ten servers cover about 1% of the slots, 250 servers
+// 25%.
 constexpr int kSlotBits = 15;
 constexpr int kSlots = 1 << kSlotBits;
-constexpr int kSlotsPerUnit = 32;
-constexpr double kMaxCoverage = 0.5;  // beyond, every server's slots are halved until they fit
-constexpr int kMaxDraws = 20'000;  // draws of one walk; even one live server of 250 is found within
-// Saved seeds. One key may load a server with this multiple of a fair share before it is spread.
-constexpr double kKeyShare = 0.7;
-// Requests of one key, in windows' worth of own traffic, behind each server it is spread over. With
-// one, a chance pair of a rare key made a second copy, and the fetches of all those copies jammed
-// origins.
-constexpr double kWindows = 2;
-constexpr double kCopyErrors = 0.02;  // errors over the fleet past which no hot server adds copies
-constexpr int kMaxOverflow = 4;       // landings passed over because the server is at its limit
-constexpr double kInFlightFactor =
-    2.0;  // limit of own attempts out, in multiples of the mean server
-constexpr double kInFlightFloor = 3.0;  // and never under this many
-// Nearness: a key is kept in the own zone once a copy there saves more than it costs, in points of
-// worth.
-// Worth lost by one more copy, in requests: its miss, and what it adds to a jammed origin.
+constexpr int kSlotsPerWeight = 32;
+// Above this coverage the slots of all servers are halved until they fit.
+constexpr double kMaxCoverage = 0.5;
+// Draws per walk; enough to find the only live server of 250.
+constexpr int kMaxDraws = 20'000;
+// Saved seeds. A key that makes up more than this multiple of a server's fair share is spread over
+// several servers.
+constexpr double kMaxKeyShare = 0.7;
+// Requests for one key, within key_count_horizon(), per server it is spread over. With 1, two
+// chance requests for a rare key cached it on a second server, and the fetches for all those
+// replicas overloaded origins.
+constexpr double kRequestsPerServer = 2;
+// Above this error rate of the fleet, hot servers spread their keys no further.
+constexpr double kMaxErrorRateForSpread = 0.02;
+// Servers skipped per walk because they are at their limit.
+constexpr int kMaxSkippedLandings = 4;
+// Limit of this router's attempts in flight at a server, as a multiple of the mean over servers,
+// and its lower bound.
+constexpr double kInFlightFactor = 2.0;
+constexpr double kInFlightFloor = 3.0;
+// Zone affinity: a key is served in the router's own zone once a replica there saves more worth
+// than it costs. This is the cost of one more replica, in requests: its miss and the load it adds
+// to an overloaded origin.
 constexpr double kMissCost = 2.0;
-// A kind of server is passed over for a request that a quicker kind serves in time by this much
-// likelier, by the same part as foreign segments are: its keys' homes stay few.
-constexpr double kPaceGain = 0.2;
-// Cores busy up to this leave room to choose among servers, to keep near and to take the quick
-// kind; from here on to 1 what is left is needed wherever it is.
-constexpr double kFreeUtil = 0.5;
-constexpr double kMaxNearPull = 0.9;  // the part of foreign segments a popular key passes over
-constexpr std::size_t kMaxTracked =
-    4096;  // keys counted per generation; bounds memory under a scan
-constexpr Micros kGeneration = 10 * kSecond;
-// Server health. A failure adds its weight; dead at the threshold, doubt halves every kDoubtHalf.
-constexpr double kDeadAt = 2.0;
-constexpr double kUsualFailure = 0.05;  // failures per attempt on a quiet day, at least
-constexpr double kFailureGain = 0.04;   // weight of one attempt in the fleet's failure rates
-constexpr double kDoubtHalf = 8.0 * kSecond;
-constexpr Micros kDeadFirst = kSecond;  // the first time out of service
-// Doubled up to this. With 8 s, half of a fleet that had been silent for 10 s was back 7 to 11 s
-// after; a trial each 2 s costs next to nothing.
-constexpr Micros kDeadMax = 2 * kSecond;
-constexpr Micros kReturnRamp = 3 * kSecond;
-constexpr double kReturnFrom = 0.2;
-constexpr double kDoubtAll =
-    0.7;  // more of the reachable servers judged dead than this: disbelieve
-// Outliers. A server may answer some requests well and fail most: errors at once, silence, refusals
-// as full over idle cores. Such a one is never dead, as each success clears its doubt, and a fleet
-// in which half do it looks as if failures were usual. So each server's bad share is held against
-// that of the fleet's better third, and what it exceeds that by costs it live part. It should cover
-// any fault that single servers have and others don't, whatever form their failures take. It could
-// hurt where a few servers bear the hottest keys at the edge of what they can do: those move and
-// miss elsewhere. Where all fail alike nobody stands out.
-constexpr double kBadGain = 0.15;           // weight of one attempt in a server's bad share
-constexpr double kBadHalf = 3.0 * kSecond;  // it fades: an outlier is seldom asked
-constexpr double kOutlierFrom = 0.3;        // excess that costs nothing yet: two failures' in a row
-constexpr double kOutlierFull = 0.6;        // excess that leaves kOutlierFloor
-// Less than what overload leaves to the good servers, or the outliers' part grows back while those
-// bear it. Too little to judge by, so the return is left to kBadHalf.
-constexpr double kOutlierFloor = 0.02;
-// Full refusals and silence are a fault only over idle cores: else those who bear the outliers'
-// part would be taken for outliers in turn, until all keys went to the last few servers.
-constexpr double kBusyUtil = 0.75;
-constexpr Micros kUtilHolds = kSecond / 2;  // a report; what fell silent while busy tells no more
-constexpr double kSlowAlpha = 0.25;         // weight of one latency in a server's mean log ratio
-constexpr double kSlowHalf = 8.0 * kSecond;
-constexpr double kSlowFrom = 1.8;    // latency ratio from which a server counts as slow
-constexpr double kLiveFloor = 0.06;  // a slow server keeps this part, so that it is still seen
-constexpr double kHotFloor = 0.4;    // a hot one more: each swing of keys costs misses
-constexpr double kHotUtil = 0.85;    // busy cores from which a report makes a server hot
-constexpr double kHotMargin = 0.05;  // above the mean of the fleet
-constexpr double kFullGives = 0.2;   // of the rest, given up for one refusal as full
-constexpr double kFullEases = 0.05;  // of it, taken back for one success: what counts is the share
-constexpr double kFullHalf = 15.0 * kSecond;
-constexpr double kHotRate = 1.2;    // shedding per second and unit of heat, as exponent
-constexpr double kCoolRate = 0.12;  // return per second, as exponent
-constexpr double kCoolSpan = 2;     // seconds one report may stand for
-// Cold servers get this multiple of their fair, cold-weighted share at most.
-constexpr double kColdBudget = 1.3;
-// And this part of what would push one over had warm servers been at the very edge of their
-// capacity.
-constexpr double kColdBorne = 0.5;
-constexpr double kBorneGain = 0.02;  // of one refresh in what warm servers bear, about 5 s
-// Attempts.
-constexpr double kQuantile = 0.95;  // latency quantile that patience is built on
-constexpr double kPatienceFactor = 2.0;
-constexpr double kServerErrs = 0.9;  // doubt from which errors are laid at the server's door
-constexpr double kFutileErrors =
-    0.1;                         // errors per attempt over the fleet past which none is retried
-constexpr int kWantedSeen = 3;   // a key seen this often lately is likely held
-constexpr double kRateSpan = 5;  // seconds over which rates fade
-constexpr Micros kRefresh = kSecond / 10;  // fleet-wide sums are renewed this often
+// A server kind is skipped when a faster kind is this much more likely to answer within the
+// objective. As many segments are skipped as with the zone affinity at its maximum, so that a key
+// is held by few servers.
+constexpr double kMinSpeedGain = 0.2;
+// Up to this utilization there is spare capacity for preferring the own zone and the faster kind;
+// from here to 1 the remaining capacity is needed wherever it is.
+constexpr double kFreeUtilization = 0.5;
+// Fraction of other zones' segments that a popular key skips.
+constexpr double kMaxZoneAffinity = 0.9;
+// Keys counted per generation; bounds memory during a scan.
+constexpr std::size_t kMaxTrackedKeys = 4096;
+constexpr Micros kKeyCountGeneration = 10 * kSecond;
+// Server health. Each failure adds its weight to the server's suspicion, which decays with this
+// half-life; at kDownSuspicion the server is judged down.
+constexpr double kDownSuspicion = 2.0;
+// Lower bound of the failure rate that counts as normal.
+constexpr double kBaselineFailureRate = 0.05;
+// Weight of one attempt in the fleet's failure rates.
+constexpr double kFailureRateGain = 0.04;
+constexpr double kSuspicionHalfLife = 8.0 * kSecond;
+// How long a server stays down: doubles from the first value to the maximum. With a maximum of 8 s,
+// half of a fleet that had been silent for 10 s returned only after 7 to 11 s; a trial every 2 s
+// costs next to nothing.
+constexpr Micros kFirstDownTime = kSecond;
+constexpr Micros kMaxDownTime = 2 * kSecond;
+constexpr Micros kRampTime = 3 * kSecond;
+constexpr double kRampStartFraction = 0.2;
+// When more than this share of the reachable servers is judged down, the judgement is ignored.
+constexpr double kMaxDownShare = 0.7;
+// Outliers. A server may answer some requests and fail most: with immediate errors, silence, or
+// rejections while its cores are idle. It is never judged down, because each success clears its
+// suspicion, and when half of the fleet behaves like that, failures look normal. So each server's
+// failure share is compared with that of the fleet's best third, and the excess reduces the
+// server's live fraction. This covers faults that only some servers have, whatever form the
+// failures take; where all servers fail alike, none is an outlier. It can do harm where a few
+// servers carry the hottest keys at the limit of their capacity: those keys move and miss
+// elsewhere.
+// Weight of one attempt in a server's failure share.
+constexpr double kFailureShareGain = 0.15;
+// The share decays because an outlier gets few requests that could improve it.
+constexpr double kFailureShareHalfLife = 3.0 * kSecond;
+// Excess up to which nothing is lost (two failures in a row), and from which only
+// kOutlierMinFraction is left.
+constexpr double kOutlierExcess = 0.3;
+constexpr double kOutlierMaxExcess = 0.6;
+// Below what overload leaves to the healthy servers; otherwise the outliers' fraction would grow
+// back while those carry the load. Too few requests to judge the server by, so its return depends
+// on kFailureShareHalfLife.
+constexpr double kOutlierMinFraction = 0.02;
+// Rejections and silence count as faults only while the server's cores are idle. Otherwise the
+// servers that take over the outliers' load would become outliers in turn, until all keys went to
+// the last few servers.
+constexpr double kBusyUtilization = 0.75;
+// How long a report is valid: a server that fell silent while busy sends no more reports.
+constexpr Micros kUtilizationValidFor = kSecond / 2;
+// Weight of one latency in a server's mean log latency ratio.
+constexpr double kLatencyRatioGain = 0.25;
+constexpr double kLatencyRatioHalfLife = 8.0 * kSecond;
+// Latency ratio above which a server counts as slow.
+constexpr double kSlowLatencyRatio = 1.8;
+// A slow server keeps this live fraction, so that its recovery can be observed.
+constexpr double kMinLiveFraction = 0.06;
+// A hot server keeps more, because every key that moves costs a miss.
+constexpr double kHotMinLoadFraction = 0.4;
+// Reported utilization above which a server is hot: this, or the fleet's mean plus the margin.
+constexpr double kHotUtilization = 0.85;
+constexpr double kHotUtilizationMargin = 0.05;
+// Fraction of the remaining keys given up per rejection, and fraction of the cut that is undone per
+// success: what counts is the share of rejected attempts.
+constexpr double kRejectionCutStep = 0.2;
+constexpr double kRejectionCutRelease = 0.05;
+constexpr double kRejectionCutHalfLife = 15.0 * kSecond;
+// Exponents per second with which the load fraction falls (per unit of heat) and recovers, and the
+// time that one report may account for.
+constexpr double kHotShedRate = 1.2;
+constexpr double kLoadRecoveryRate = 0.12;
+constexpr double kMaxReportSpanSeconds = 2;
+// A cold server gets at most this multiple of its fair share, scaled by its warmth.
+constexpr double kColdShareFactor = 1.3;
+// And at most this part of the load that would make it fail if the warm servers were at the limit
+// of their capacity.
+constexpr double kColdCapacityFactor = 0.5;
+// Weight of one refresh in the rate that warm servers handle; averages over about 5 s.
+constexpr double kWarmRateGain = 0.02;
+// Attempts. The timeout of an attempt is this multiple of the latency quantile of its class.
+constexpr double kTimeoutQuantile = 0.95;
+constexpr double kTimeoutFactor = 2.0;
+// Suspicion above which errors are attributed to the server.
+constexpr double kServerFaultSuspicion = 0.9;
+// Above this error rate of the fleet, errors are not retried.
+constexpr double kMaxErrorRateForRetry = 0.1;
+// A key requested this often recently is popular.
+constexpr int kPopularKeyCount = 3;
+// Time over which request rates decay.
+constexpr double kRateDecaySeconds = 5;
+// Interval at which the sums over the fleet are recomputed.
+constexpr Micros kRefreshInterval = kSecond / 10;
 
 int slot_of(std::uint64_t draw) { return static_cast<int>(draw >> (64 - kSlotBits)); }
-/// Where within its slot a draw lands, 0 to 1.
-double depth_of(std::uint64_t draw) {
+/// The position of a draw within its slot, 0 to 1.
+double position_in_slot(std::uint64_t draw) {
   return static_cast<double>((draw >> 17) & 0xffffffffULL) / 4294967296.0;
 }
 
-/// One attempt more in a rate of failures.
-void follow(double& rate, bool failed) { rate += kFailureGain * (failed - rate); }
+/// Adds one attempt to a failure rate.
+void update_rate(double& rate, bool failed) { rate += kFailureRateGain * (failed - rate); }
 
-enum TimerKind : std::uint64_t { kDeadlineTimer, kCopyTimer, kAskTimer };
+enum TimerKind : std::uint64_t { kDeadlineTimer, kHedgeTimer, kPollTimer };
 
 }  // namespace
 
 struct Balancer::Impl {
   // ---- state ----
   struct ServerState {
-    Server listed;
-    bool present = false;  // on the current list and ready or draining
-    int in_flight = 0;     // own attempts out
-    int kept = 0;          // attempts of open requests, also those that have ended
-    double doubt = 0;      // weight of recent failures
-    Micros doubt_at = 0;
-    int strikes = 0;  // times judged dead without a success between
-    Micros dead_until = 0;
-    Micros returned_at = 0;  // start of the ramp after a dead spell; 0 = none
-    double slow_log = 0;     // mean log of latency over the class's usual
-    double slow_seen = 0;    // evidence behind it
-    Micros slow_at = 0;
-    double load_live = 1;  // live fraction by reported load
-    double util = -1;      // as last reported; -1 = never
-    double bad_share = 0;  // of recent attempts, fading
-    Micros bad_at = 0;
-    double crowded = 0;  // part given up for refusals as full
-    Micros crowded_at = 0;
+    Server entry;
+    bool present = false;  // in the current list, ready or draining
+    int in_flight = 0;     // attempts of this router
+    int attempt_refs = 0;  // attempts of open requests, including ended ones
+    double suspicion = 0;  // decayed weight of recent failures
+    Micros suspicion_at = 0;
+    int times_down = 0;  // times judged down since the last success
+    Micros down_until = 0;
+    Micros ramp_start = 0;         // start of the ramp after being down; 0 = none
+    double log_latency_ratio = 0;  // mean log of latency relative to the class's mean
+    double latency_samples = 0;    // decayed number of latencies behind it
+    Micros latency_at = 0;
+    double load_fraction = 1;  // live fraction according to reported load
+    double utilization = -1;   // last reported; -1 = never
+    double failure_share = 0;  // of recent attempts, decaying
+    Micros failure_share_at = 0;
+    double rejection_cut = 0;  // fraction given up because of rejections
+    Micros rejection_cut_at = 0;
     Micros report_at = 0;
     limits::SlowStart slow_start;
-    std::unique_ptr<limits::Rule> window;  // attempts out, whatever they are
+    std::unique_ptr<limits::Rule> window;  // limits attempts in flight
   };
-  enum class Ran { Out, Maybe, Never };
+  enum class RunState { InFlight, MayHaveRun, NotRun };
   struct Attempt {
     int server;
-    Micros sent;
-    Ran ran = Ran::Out;
+    Micros sent_at;
+    RunState run_state = RunState::InFlight;
     bool stalled = false;
-    double fetch = 0;      // as the limits count it
-    bool overdue = false;  // out when the request's time was over
+    double fetch_weight = 0;  // expected fetches from the origin, 0 to 1
+    bool overdue = false;     // still in flight at the request's deadline
   };
-  struct Open {
+  struct OpenRequest {
     Request request;
-    int cls = 0;
-    int seen = 0;             // times its key came lately
-    bool held = false;        // its key is likely held by a server
-    std::uint64_t name = 0;   // hash of its key
-    std::uint64_t write = 0;  // of its idempotency key and class; 0: it bears none
+    int class_index = 0;
+    int key_count = 0;    // recent requests for its key
+    bool cached = false;  // a server probably holds its key
+    std::uint64_t key_hash = 0;
+    std::uint64_t write_hash = 0;  // hash of idempotency key and class; 0 = no idempotency key
     std::uint64_t seed = 0;
-    Micros came = 0;
-    Micros first = 0;  // when its client's first try came, as far as known
+    Micros arrived_at = 0;
+    Micros first_try_at = 0;  // arrival of the client's first try, if known
     Micros deadline = 0;
     bool closed = false;
-    bool missed = false;                // aside mode: a cache held nothing
-    Status held_for = Status::NotSent;  // the outcome with which it waits for on_resume()
-    limits::Ask ask;
+    bool missed = false;                     // cache-aside mode: a cache answered with a miss
+    Status paused_status = Status::NotSent;  // outcome it was paused with until on_resume()
+    limits::Ask admission;
     std::vector<Attempt> attempts;
   };
   struct ClassState {
-    double mean_log = 0;  // usual log latency
-    double quantile = 0;  // latency at kQuantile
-    double seen = 0;
+    double mean_log_latency = 0;
+    double latency_quantile = 0;  // at kTimeoutQuantile
+    double samples = 0;
   };
 
   Impl(const Settings& settings, const limits::LimitFactory& rules)
-      : set(settings),
-        lim(settings, rules),
-        asks(settings.routers, settings.max_poll_delay),
-        writes(settings.classes),
-        company(settings.routers, 0) {}
+      : settings(settings),
+        attempt_limits(settings, rules),
+        discovery_backoff(settings.routers, settings.max_poll_delay),
+        keyed_writes(settings.classes),
+        tier_restart(settings.routers, 0) {}
 
-  Settings set;
+  Settings settings;
   std::uint64_t rng;
   Micros now = 0;
   std::vector<ServerState> servers;
-  std::vector<int> vacant;           // places in `servers` that are free
-  std::map<std::string, int> index;  // by id, so that walks over it are in id order
+  std::vector<int> free_indices;            // free places in `servers`
+  std::map<std::string, int> server_index;  // by id, so that iteration is in id order
   std::vector<int> slots = std::vector<int>(kSlots, -1);
-  std::unordered_map<RequestId, Open> open;
-  struct Saved {
+  std::unordered_map<RequestId, OpenRequest> open_requests;
+  struct SavedSeed {
     std::uint64_t seed = 0;  // of the last landing
-    int drawn = 0;           // landings since the walk began at the name
-    int home = -1;           // server of the first of them
-    double count = 0;        // own requests lately, fading with own traffic
-    double at = 0;           // value of `sent` then
+    int landings = 0;        // landings since the walk started from the key's hash
+    int home_server = -1;    // server of the first landing
+    double count = 0;        // recent requests, decaying with this router's requests
+    double counted_at = 0;   // value of `own_requests` at the last update
   };
-  std::unordered_map<std::uint64_t, Saved> saved;  // by name hash
-  double sent = 0, swept = 0;  // own requests; and when stale seeds were dropped
-  struct Seen {
-    int times = 0;
-    bool held = false;  // its last read was answered, so some server holds it
+  std::unordered_map<std::uint64_t, SavedSeed> saved_seeds;  // by hash of the key
+  double own_requests = 0, swept_at = 0;  // this router's requests; their number at the last sweep
+  struct KeyCount {
+    int count = 0;
+    bool cached = false;  // its last read was answered, so a server holds it
   };
-  std::array<std::unordered_map<std::uint64_t, Seen>, 2> counts;  // this generation, last
-  Micros generation_at = 0;
+  // Current and previous generation.
+  std::array<std::unordered_map<std::uint64_t, KeyCount>, 2> key_counts;
+  Micros generation_start = 0;
   std::vector<ClassState> classes;
-  std::vector<double> tenant_rate;
-  // Decayed counts, in mean requests: of attempts sent, and of clients' first tries.
-  double rate_sum = 0, asked_sum = 0;
-  Micros rate_at = 0;
-  Micros born = 0;
+  std::vector<double> tenant_rates;
+  // Decayed sums of attempts sent and of clients' first tries, in units of a mean request.
+  double sent_sum = 0, first_try_sum = 0;
+  Micros rates_at = 0;
+  Micros started_at = 0;
   double mean_work = 0;
-  double mean_log = 0;  // usual log latency over all classes
-  double queue_mean = 0, util_mean = 0;
+  double mean_log_latency = 0;  // over all classes
+  double mean_queue = 0, mean_utilization = 0;
   int total_in_flight = 0;
-  // Failures per attempt over the whole fleet, lately.
-  double errors = 0, late = 0, unreachable = 0, full = 0, spoilt = 0;
-  limits::Limits lim;
-  limits::Paces paces;
-  double mean_value = 0;  // usual worth of a request, or per work where worth goes by request
-  // renewed by refresh()
-  Micros refreshed = -1;
-  double live_sum = 1, weight_sum = 1, warm_sum = 1, near_pull = 0;
-  double usual_bad = 0;  // bad share of the fleet's better third
-  double borne = 0;      // requests per second and weight that this router's warm servers bear
-  bool disbelieve = false;
-  // list
-  bool watching = false, asking = false;
-  recovery::Asking asks;
-  recovery::Writes writes;
-  recovery::Company company;
-  std::uint64_t ask_token = 0;
-  Micros ask_at = 0;  // when the next call is due
-  std::uint64_t draws = 0, turned_away = 0, unsendable = 0, given_up = 0;
-  std::uint64_t retries = 0, copies = 0, trials = 0;
-  Actions out;
-
-  /// What is left of 1 that halves every `half`.
-  double halved(Micros since, double half) const {
-    return std::exp2(-static_cast<double>(now - since) / half);
+  // Recent failures per attempt over the whole fleet.
+  double error_rate = 0, late_rate = 0, unreachable_rate = 0, rejected_rate = 0, malformed_rate = 0;
+  limits::Limits attempt_limits;
+  limits::Paces kind_speeds;
+  double mean_worth = 0;  // of a request, per unit of work
+  // Recomputed by refresh_fleet_state().
+  Micros refreshed_at = -1;
+  double live_servers = 1, live_weight = 1, warm_weight = 1, zone_affinity = 0;
+  double baseline_failure_share = 0;  // failure share of the fleet's best third
+  // Requests per second and unit of weight that the warm servers handle from this router.
+  double warm_rate_per_weight = 0;
+  bool ignore_down = false;
+  // Server list.
+  bool watching = false, polling = false;
+  recovery::Asking discovery_backoff;
+  recovery::Writes keyed_writes;
+  recovery::Company tier_restart;
+  std::uint64_t poll_token = 0;
+  Micros next_poll_at = 0;  // when the next call to discovery is due
+  std::uint64_t draws = 0, shed = 0, unroutable = 0, failed_after_attempts = 0;
+  std::uint64_t retries = 0, hedges = 0, trials = 0;
+  Actions actions;
+
+  /// What remains of 1 with this half-life.
+  double decay(Micros since, double half_life) const {
+    return std::exp2(-static_cast<double>(now - since) / half_life);
   }
 
   double random() {
@@ -261,490 +298,543 @@
 
   // ---- segments ----
   bool is_origin(const ServerState& s) const {
-    return set.cache_aside && !set.origin_kind.empty() && s.listed.kind == set.origin_kind;
+    return settings.cache_aside && !settings.origin_kind.empty() &&
+           s.entry.kind == settings.origin_kind;
   }
 
-  void carve() {
+  void assign_slots() {
     std::fill(slots.begin(), slots.end(), -1);
-    double unit = kSlotsPerUnit, total = 0;
+    double unit = kSlotsPerWeight, total = 0;
     for (const ServerState& s : servers)
-      if (s.present && !is_origin(s)) total += std::max(s.listed.weight, 0.0) * kSlotsPerUnit;
+      if (s.present && !is_origin(s)) total += std::max(s.entry.weight, 0.0) * kSlotsPerWeight;
     while (total > kMaxCoverage * kSlots) unit /= 2, total /= 2;
-    for (const auto& [id, i] : index) {  // lower ids first: ties go to them
+    for (const auto& [id, i] :
+         server_index) {  // in id order: a contested slot goes to the lower id
       const ServerState& s = servers[i];
       if (!s.present || is_origin(s)) continue;
-      int want = std::max(1, static_cast<int>(std::lround(s.listed.weight * unit)));
+      int slots_wanted = std::max(1, static_cast<int>(std::lround(s.entry.weight * unit)));
       std::uint64_t seed = hash_name(id);
-      for (int tries = 0; want > 0 && tries < kSlots; ++tries) {
+      for (int draw = 0; slots_wanted > 0 && draw < kSlots; ++draw) {
         seed = next_draw(seed);
         int& slot = slots[slot_of(seed)];
-        if (slot < 0) slot = i, --want;
+        if (slot < 0) slot = i, --slots_wanted;
       }
     }
-    refreshed = -1;
+    refreshed_at = -1;
   }
 
-  bool usable(const ServerState& s) const { return s.present && s.listed.health == Health::Ready; }
+  bool usable(const ServerState& s) const { return s.present && s.entry.health == Health::Ready; }
 
-  bool cold(const ServerState& s) const {
-    return s.listed.up_since > 0 && now - s.listed.up_since < set.cold_time;
+  bool is_cold(const ServerState& s) const {
+    return s.entry.up_since > 0 && now - s.entry.up_since < settings.cold_time;
   }
 
   double warmth(const ServerState& s) const {
-    if (!cold(s)) return 1;
-    double age = static_cast<double>(std::max<Micros>(0, now - s.listed.up_since)) /
-                 static_cast<double>(set.cold_time);
-    return set.cold_share + (1 - set.cold_share) * age;
+    if (!is_cold(s)) return 1;
+    double age = static_cast<double>(std::max<Micros>(0, now - s.entry.up_since)) /
+                 static_cast<double>(settings.cold_time);
+    return settings.cold_share + (1 - settings.cold_share) * age;
   }
 
-  /// The part of its slots that a server is live over. Death, slow start, a slow machine and
-  /// overload all act here, so each remaps only the keys of the part that is given up.
-  double live(const ServerState& s) const {
+  /// The fraction of its slots in which a server takes requests. Being down, slow start, a slow
+  /// machine and overload all act here, so each moves only the keys of the fraction given up.
+  double live_fraction(const ServerState& s) const {
     if (!usable(s)) return 0;
-    double part = warmth(s) * std::max(kLiveFloor, s.load_live * (1 - crowding(s)) * slow_part(s)) *
-                  std::max(kOutlierFloor, sound_part(s));
-    if (!disbelieve) {
-      if (now < s.dead_until) return 0;
-      if (s.returned_at > 0) {
-        double back = static_cast<double>(now - s.returned_at) / kReturnRamp;
-        part *= std::min(1.0, kReturnFrom + (1 - kReturnFrom) * back);
+    double fraction = warmth(s) *
+                      std::max(kMinLiveFraction, s.load_fraction * (1 - current_rejection_cut(s)) *
+                                                     latency_fraction(s)) *
+                      std::max(kOutlierMinFraction, outlier_fraction(s));
+    if (!ignore_down) {
+      if (now < s.down_until) return 0;
+      if (s.ramp_start > 0) {
+        double progress = static_cast<double>(now - s.ramp_start) / kRampTime;
+        fraction *= std::min(1.0, kRampStartFraction + (1 - kRampStartFraction) * progress);
       }
     }
-    return part;
+    return fraction;
   }
 
-  void refresh() {
-    if (refreshed >= 0 && now - refreshed < kRefresh) return;
-    refreshed = now;
-    double ready = 0, dead = 0, near_ready = 0, near_dead = 0;
-    std::vector<double> shares;
+  void refresh_fleet_state() {
+    if (refreshed_at >= 0 && now - refreshed_at < kRefreshInterval) return;
+    refreshed_at = now;
+    double ready = 0, down = 0, own_zone_ready = 0, own_zone_down = 0;
+    std::vector<double> failure_shares;
     for (const ServerState& s : servers) {
       if (!usable(s) || is_origin(s)) continue;
-      shares.push_back(bad_share(s));
-      bool near = s.listed.zone == set.zone;
-      ready += 1, near_ready += near;
-      if (now < s.dead_until) dead += 1, near_dead += near;
+      failure_shares.push_back(current_failure_share(s));
+      bool in_own_zone = s.entry.zone == settings.zone;
+      ready += 1, own_zone_ready += in_own_zone;
+      if (now < s.down_until) down += 1, own_zone_down += in_own_zone;
     }
-    if (!shares.empty()) {
-      auto third = shares.begin() + static_cast<std::ptrdiff_t>(shares.size() / 3);
-      std::nth_element(shares.begin(), third, shares.end());
-      usual_bad = *third;
+    if (!failure_shares.empty()) {
+      auto third = failure_shares.begin() + static_cast<std::ptrdiff_t>(failure_shares.size() / 3);
+      std::nth_element(failure_shares.begin(), third, failure_shares.end());
+      baseline_failure_share = *third;
     }
-    // A cut between zones looks like many deaths and is believed as long as the own zone answers;
-    // when the servers next door look dead as well, the fault is more likely here or in the
-    // judgement.
-    disbelieve = near_ready > 0 ? near_dead > kDoubtAll * near_ready && dead > kDoubtAll * ready
-                                : dead > kDoubtAll * ready;
-    double near_live = 0, near_weight = 0, nominal = 0;
-    live_sum = weight_sum = warm_sum = 0;
+    // A network partition between zones makes many servers look down; that is believed as long as
+    // the own zone answers. When the servers of the own zone look down as well, the fault is more
+    // likely in this router or in the judgement.
+    ignore_down = own_zone_ready > 0 ? own_zone_down > kMaxDownShare * own_zone_ready &&
+                                           down > kMaxDownShare * ready
+                                     : down > kMaxDownShare * ready;
+    double own_zone_live = 0, own_zone_servers = 0, nominal_weight = 0;
+    live_servers = live_weight = warm_weight = 0;
     for (const ServerState& s : servers) {
       if (!usable(s) || is_origin(s)) continue;
-      double part = live(s);
-      live_sum += part, weight_sum += part * s.listed.weight;
-      warm_sum += warmth(s) * s.listed.weight;
-      nominal += s.listed.weight;
-      if (s.listed.zone == set.zone) near_live += part, near_weight += 1;
+      double live = live_fraction(s);
+      live_servers += live, live_weight += live * s.entry.weight;
+      warm_weight += warmth(s) * s.entry.weight;
+      nominal_weight += s.entry.weight;
+      if (s.entry.zone == settings.zone) own_zone_live += live, own_zone_servers += 1;
     }
-    if (warm_sum > 0.8 * nominal && warm_sum > 0) {
-      double fair = sent_rate() / warm_sum;
-      borne += (borne <= 0 ? 1 : kBorneGain) * (fair - borne);
+    if (warm_weight > 0.8 * nominal_weight && warm_weight > 0) {
+      double rate_per_weight = sent_rate() / warm_weight;
+      warm_rate_per_weight += (warm_rate_per_weight <= 0 ? 1 : kWarmRateGain) *
+                              (rate_per_weight - warm_rate_per_weight);
     }
-    // Servers of the own zone that shed load loosen the pull to it: while cores are free only as
-    // far as the others shed less, since a little is shed everywhere. At the edge that was worse.
-    double own = near_weight > 0 ? near_live / near_weight : 0;
-    double against = live_sum > 0 ? std::min(1.0, own * ready / live_sum) : 0;
-    double rest = own + (against - own) * slack();
-    near_pull = kMaxNearPull * rest * rest;
+    // Servers of the own zone that give up load weaken the affinity to it. While the fleet has
+    // spare capacity, only what they give up beyond the other zones counts, since every server
+    // gives up a little. Near full load that comparison gave worse results, so there the own zone
+    // counts alone.
+    double own_zone = own_zone_servers > 0 ? own_zone_live / own_zone_servers : 0;
+    double own_to_fleet = live_servers > 0 ? std::min(1.0, own_zone * ready / live_servers) : 0;
+    double strength = own_zone + (own_to_fleet - own_zone) * spare_capacity();
+    zone_affinity = kMaxZoneAffinity * strength * strength;
   }
 
-  /// How free the fleet is, 1 to 0: by its cores, by what it turns away, by what is refused here.
-  double slack() const {
-    double cores = std::clamp((1 - util_mean) / (1 - kFreeUtil), 0.0, 1.0);
-    double refused = std::max(lim.refused(now, false), lim.refused(now, true));
-    return cores * std::max(0.0, 1 - 2 * full) * std::max(0.0, 1 - 2 * refused);
+  /// Spare capacity of the fleet, 0 to 1, by utilization, rejections and requests shed here.
+  double spare_capacity() const {
+    double idle = std::clamp((1 - mean_utilization) / (1 - kFreeUtilization), 0.0, 1.0);
+    double shed_share =
+        std::max(attempt_limits.refused(now, false), attempt_limits.refused(now, true));
+    return idle * std::max(0.0, 1 - 2 * rejected_rate) * std::max(0.0, 1 - 2 * shed_share);
   }
 
   // ---- saved seeds ----
-  /// Own requests over which a key is counted: kWindows times what makes kKeyShare of a fair share.
-  double horizon() const { return kWindows * std::max(1.0, live_sum / kKeyShare); }
-
-  /// The seed the request's walk starts from. Repeats draw onward from the saved seed until the key
-  /// has been to as many servers as its share of the traffic needs; then its window ends and the
-  /// walk begins at the name again. A key that one server can bear stays at its first landing, and
-  /// a hot key's known spread outlives each wipe.
-  Saved& seed_of(std::uint64_t name) {
-    sent += 1;
-    double span = horizon();
-    auto fade = [&](const Saved& s) { return s.count * std::exp(-(sent - s.at) / span); };
-    if (sent - swept > span) {
-      for (auto it = saved.begin(); it != saved.end();)
-        it = fade(it->second) < 0.5 ? saved.erase(it) : std::next(it);
-      swept = sent;
+  /// Requests of this router over which a key is counted: so many that a key with kMaxKeyShare of a
+  /// server's fair share is requested kRequestsPerServer times.
+  double key_count_horizon() const {
+    return kRequestsPerServer * std::max(1.0, live_servers / kMaxKeyShare);
+  }
+
+  /// The seed from which the request's walk starts. Further requests for the key continue from the
+  /// saved seed until the key has used as many servers as its share of the traffic needs; then the
+  /// walk restarts from the key's hash. A key that one server can serve stays at its first landing,
+  /// and a hot key keeps its spread across restarts of the walk.
+  SavedSeed& advance_saved_seed(std::uint64_t key_hash) {
+    own_requests += 1;
+    double horizon = key_count_horizon();
+    auto decayed_count = [&](const SavedSeed& s) {
+      return s.count * std::exp(-(own_requests - s.counted_at) / horizon);
+    };
+    if (own_requests - swept_at > horizon) {
+      for (auto it = saved_seeds.begin(); it != saved_seeds.end();)
+        it = decayed_count(it->second) < 0.5 ? saved_seeds.erase(it) : std::next(it);
+      swept_at = own_requests;
     }
-    Saved& s = saved[name];
-    s.count = fade(s) + 1;
-    s.at = sent;
-    // Some servers are hot by several middling keys, none of which would be spread for itself. Not
-    // while the origin fails: each copy asks it.
-    bool calm = s.home < 0 || s.count < kWindows || errors > kCopyErrors;
-    double per_server = kWindows * (calm ? 1 : servers[s.home].load_live);
-    if (s.drawn == 0 || s.drawn >= s.count / per_server) s.seed = name, s.drawn = 0;
+    SavedSeed& s = saved_seeds[key_hash];
+    s.count = decayed_count(s) + 1;
+    s.counted_at = own_requests;
+    // A server can be hot because of several moderately popular keys, none of which would be spread
+    // on its own. Not while the origin fails, since each replica costs a fetch.
+    bool keep_spread =
+        s.home_server < 0 || s.count < kRequestsPerServer || error_rate > kMaxErrorRateForSpread;
+    double per_server =
+        kRequestsPerServer * (keep_spread ? 1 : servers[s.home_server].load_fraction);
+    if (s.landings == 0 || s.landings >= s.count / per_server) s.seed = key_hash, s.landings = 0;
     return s;
   }
 
-  /// Counts the key over the last one to two generations.
-  void count_key(Open& o) {
-    if (now - generation_at > kGeneration || counts[0].size() >= kMaxTracked) {
-      counts[1] = std::move(counts[0]);
-      counts[0].clear();
-      generation_at = now;
+  /// Counts the request's key over the last one to two generations.
+  void count_key(OpenRequest& o) {
+    if (now - generation_start > kKeyCountGeneration || key_counts[0].size() >= kMaxTrackedKeys) {
+      key_counts[1] = std::move(key_counts[0]);
+      key_counts[0].clear();
+      generation_start = now;
     }
-    auto [it, fresh] = counts[0].try_emplace(o.name);
-    auto old = counts[1].find(o.name);
-    if (fresh && old != counts[1].end()) it->second.held = old->second.held;
-    o.seen = ++it->second.times + (old != counts[1].end() ? old->second.times : 0);
-    o.held = it->second.held && !o.request.write;
+    auto [it, fresh] = key_counts[0].try_emplace(o.key_hash);
+    auto old = key_counts[1].find(o.key_hash);
+    if (fresh && old != key_counts[1].end()) it->second.cached = old->second.cached;
+    o.key_count = ++it->second.count + (old != key_counts[1].end() ? old->second.count : 0);
+    o.cached = it->second.cached && !o.request.write;
   }
 
-  /// What an admitted request's end says of where its key is held.
-  void note_end(const Open& o, bool answered) {
-    auto it = counts[0].find(o.name);
-    if (it != counts[0].end()) it->second.held = answered && !o.request.write;
+  /// Records whether a server holds the key now that an admitted request has ended.
+  void record_key_cached(const OpenRequest& o, bool answered) {
+    auto it = key_counts[0].find(o.key_hash);
+    if (it != key_counts[0].end()) it->second.cached = answered && !o.request.write;
   }
 
-  /// Whether a copy of the key in the own zone would pay. Where a hundred routers share the
-  /// traffic, a key that this one has seen once is one that its neighbours ask for as well.
-  bool popular(int seen) const {
-    double peers = std::max(1.0, set.routers / std::max<double>(1, set.zones.size()));
-    return set.cross_zone_charge * seen * peers > kMissCost;
+  /// Whether a replica of the key in the own zone saves more than it costs. Where a hundred routers
+  /// share the traffic, a key seen once here is requested by the other routers of the zone as well.
+  bool justifies_zone_replica(int requests) const {
+    double peers = std::max(1.0, settings.routers / std::max<double>(1, settings.zones.size()));
+    return settings.cross_zone_charge * requests * peers > kMissCost;
   }
 
   bool at_limit(const ServerState& s) const {
-    double mean = total_in_flight / std::max(1.0, weight_sum);
-    return s.in_flight >= kInFlightFloor + kInFlightFactor * mean * s.listed.weight;
+    double mean = total_in_flight / std::max(1.0, live_weight);
+    return s.in_flight >= kInFlightFloor + kInFlightFactor * mean * s.entry.weight;
   }
 
-  double cold_rate(const ServerState& s) const {  // requests per second this router may send
-    // Over the nominal sizes: were it over the live ones, servers that shed load would push it to
-    // the cold. And never more than warm servers were seen to bear: after a mass replacement the
-    // fair share of the few that are left is more than they can do.
-    double fair = due_rate() / std::max(1.0, warm_sum);
-    double most = borne > 0 ? std::min(kColdBudget * fair, kColdBorne * set.overload_factor * borne)
-                            : kColdBudget * fair;
-    return warmth(s) * s.listed.weight * most;
+  double max_cold_rate(const ServerState& s) const {
+    // Shares are of the nominal weights: with live weights, servers that shed load would push it to
+    // the cold ones. The rate is also bounded by what warm servers were seen to handle: after a
+    // mass replacement the fair share of the few servers left exceeds their capacity.
+    double fair_rate = expected_rate() / std::max(1.0, warm_weight);
+    double max_rate =
+        warm_rate_per_weight > 0
+            ? std::min(kColdShareFactor * fair_rate,
+                       kColdCapacityFactor * settings.overload_factor * warm_rate_per_weight)
+            : kColdShareFactor * fair_rate;
+    return warmth(s) * s.entry.weight * max_rate;
   }
 
-  bool cold_has_room(ServerState& s, double cost) {
-    return !cold(s) || s.slow_start.admits(now, cold_rate(s), set.overload_time, cost);
+  bool may_take_cold(ServerState& s, double cost) {
+    return !is_cold(s) || s.slow_start.admits(now, max_cold_rate(s), settings.overload_time, cost);
   }
 
   struct Landing {
     int server = -1;
     std::uint64_t seed = 0;
-    double fetch = 0;  // as the limits count it
+    double fetch_weight = 0;  // expected fetches from the origin, 0 to 1
   };
 
-  /// Draws onward from `seed`, `left` times at most, to the next live segment; -1 when there is
-  /// none.
-  int next_live(std::uint64_t& seed, int& left) const {
+  /// Draws from `seed`, at most `left` times, until a live segment is hit; returns its server or
+  /// -1.
+  int draw_live_server(std::uint64_t& seed, int& left) const {
     while (left-- > 0) {
       seed = next_draw(seed);
       int i = slots[slot_of(seed)];
-      if (i >= 0 && depth_of(seed) < live(servers[i])) return i;
+      if (i >= 0 && position_in_slot(seed) < live_fraction(servers[i])) return i;
     }
     return -1;
   }
 
-  /// Whether another kind of server would serve the request in time where this one would not.
-  bool too_slow(const Open& o, const ServerState& s) const {
-    double least = kPaceGain / std::max(0.01, slack() * slack());
-    return o.request.work && paces.gain_elsewhere(s.listed.kind, *o.request.work,
-                                                  set.classes[o.cls].latency_objective) > least;
+  /// Whether another kind of server would probably meet the objective where this one would miss it.
+  bool is_too_slow(const OpenRequest& o, const ServerState& s) const {
+    double min_gain = kMinSpeedGain / std::max(0.01, spare_capacity() * spare_capacity());
+    return o.request.work &&
+           kind_speeds.gain_elsewhere(s.entry.kind, *o.request.work,
+                                      settings.classes[o.class_index].latency_objective) > min_gain;
   }
 
   /// Draws from `seed` to the next live segment whose server may take the request.
-  Landing walk(std::uint64_t seed, const Open& o, bool keep_near) {
+  Landing walk(std::uint64_t seed, const OpenRequest& o, bool prefer_own_zone) {
     Landing fallback;
-    int passed = 0;
-    double cost = cost_of(o), fetch = lim.fetch_weight(o.ask), part = lim.part(o.ask);
+    int skipped = 0;
+    double cost = relative_cost(o), fetch_weight = attempt_limits.fetch_weight(o.admission),
+           window_share = attempt_limits.part(o.admission);
     for (int left = kMaxDraws, before = left;; before = left) {
-      int i = next_live(seed, left);
+      int i = draw_live_server(seed, left);
       draws += static_cast<std::uint64_t>(before - std::max(left, 0));
       if (i < 0) return fallback;
       ServerState& s = servers[i];
-      if (!may_send(o, i) || tried(o, i)) continue;
-      if (too_slow(o, s) && depth_of(mix(seed + 1)) < kMaxNearPull) continue;
-      if (keep_near && s.listed.zone != set.zone && depth_of(mix(seed)) < near_pull) continue;
-      if (!cold_has_room(s, cost)) continue;
-      bool room = s.window->has_room(now, 1, part);
-      if (!room || at_limit(s)) {
-        if (room && fallback.server < 0) fallback = {i, seed, fetch};
-        if (++passed > kMaxOverflow) return fallback;
-        // Elsewhere it is not held: where fetches are short, its home's refusal stands.
-        if (passed == 1) fetch = lim.spill_weight(o.ask);
-        if (!lim.may_spill(now, o.ask)) return fallback;
+      if (!may_send(o, i) || was_tried(o, i)) continue;
+      if (is_too_slow(o, s) && position_in_slot(mix(seed + 1)) < kMaxZoneAffinity) continue;
+      if (prefer_own_zone && s.entry.zone != settings.zone &&
+          position_in_slot(mix(seed)) < zone_affinity)
+        continue;
+      if (!may_take_cold(s, cost)) continue;
+      bool has_capacity = s.window->has_room(now, 1, window_share);
+      if (!has_capacity || at_limit(s)) {
+        if (has_capacity && fallback.server < 0) fallback = {i, seed, fetch_weight};
+        if (++skipped > kMaxSkippedLandings) return fallback;
+        // Other servers do not hold the key. When fetch capacity is short, the request does not
+        // spill over to them.
+        if (skipped == 1) fetch_weight = attempt_limits.spill_weight(o.admission);
+        if (!attempt_limits.may_spill(now, o.admission)) return fallback;
         continue;
       }
-      return {i, seed, fetch};
+      return {i, seed, fetch_weight};
     }
   }
 
   // ---- server health ----
-  double slow_part(const ServerState& s) const {
-    if (s.slow_seen < 2) return 1;
-    double age = halved(s.slow_at, kSlowHalf);
-    double ratio = std::exp(s.slow_log * age);
-    return ratio > kSlowFrom ? kSlowFrom / ratio : 1;
+  double latency_fraction(const ServerState& s) const {
+    if (s.latency_samples < 2) return 1;
+    double remaining = decay(s.latency_at, kLatencyRatioHalfLife);
+    double ratio = std::exp(s.log_latency_ratio * remaining);
+    return ratio > kSlowLatencyRatio ? kSlowLatencyRatio / ratio : 1;
   }
 
-  double bad_share(const ServerState& s) const { return s.bad_share * halved(s.bad_at, kBadHalf); }
+  double current_failure_share(const ServerState& s) const {
+    return s.failure_share * decay(s.failure_share_at, kFailureShareHalfLife);
+  }
 
-  /// How far the server fails more often than the better ones do; up to 0 where it does not.
-  double excess(const ServerState& s) const { return bad_share(s) - usual_bad - kOutlierFrom; }
-  bool outlier(const ServerState& s) const { return !is_origin(s) && excess(s) > 0; }
-  double sound_part(const ServerState& s) const {
-    return std::clamp(1 - excess(s) / (kOutlierFull - kOutlierFrom), 0.0, 1.0);
+  /// How far the server's failure share exceeds that of the best third; not positive for others.
+  double excess_failure_share(const ServerState& s) const {
+    return current_failure_share(s) - baseline_failure_share - kOutlierExcess;
+  }
+  bool is_outlier(const ServerState& s) const {
+    return !is_origin(s) && excess_failure_share(s) > 0;
+  }
+  double outlier_fraction(const ServerState& s) const {
+    return std::clamp(1 - excess_failure_share(s) / (kOutlierMaxExcess - kOutlierExcess), 0.0, 1.0);
   }
 
-  /// Its cores are, by what it said lately.
-  bool busy(const ServerState& s) const {
-    return s.util >= kBusyUtil && now - s.report_at < kUtilHolds;
+  /// According to its last report, if recent.
+  bool is_busy(const ServerState& s) const {
+    return s.utilization >= kBusyUtilization && now - s.report_at < kUtilizationValidFor;
   }
 
-  void note_bad(ServerState& s, bool bad, double own = 1) {
-    s.bad_share = bad_share(s);
-    s.bad_at = now;
-    double gain = kBadGain * (bad ? own : 1);
-    s.bad_share += gain * (bad - s.bad_share);
+  void record_failure_share(ServerState& s, bool failed, double own_share = 1) {
+    s.failure_share = current_failure_share(s);
+    s.failure_share_at = now;
+    double gain = kFailureShareGain * (failed ? own_share : 1);
+    s.failure_share += gain * (failed - s.failure_share);
   }
 
-  /// `own`: how far the latency is the server's own and not the origin's, 0 to 1.
-  void note_latency(ServerState& s, int cls, Micros latency, bool ok, double own) {
-    ClassState& c = classes[cls];
+  /// `own_share`: the share of the latency that is the server's and not the origin's, 0 to 1.
+  void record_latency(ServerState& s, int class_index, Micros latency, bool ok, double own_share) {
+    ClassState& c = classes[class_index];
     double value = std::max<double>(1, static_cast<double>(latency));
     double log_value = std::log(value);
-    if (c.seen == 0) c.mean_log = log_value, c.quantile = value * 2;
-    c.seen = std::min(c.seen + 1, 200.0);
-    double gain = std::max(1 / c.seen, 0.02);
+    if (c.samples == 0) c.mean_log_latency = log_value, c.latency_quantile = value * 2;
+    c.samples = std::min(c.samples + 1, 200.0);
+    double gain = std::max(1 / c.samples, 0.02);
     if (ok) {
-      mean_log += (mean_log == 0 ? 1 : 0.03) * (log_value - mean_log);
-      c.mean_log += gain * (log_value - c.mean_log);
-      c.quantile *=
-          std::exp((value > c.quantile ? kQuantile : kQuantile - 1) * std::max(gain, 0.05));
+      mean_log_latency += (mean_log_latency == 0 ? 1 : 0.03) * (log_value - mean_log_latency);
+      c.mean_log_latency += gain * (log_value - c.mean_log_latency);
+      c.latency_quantile *=
+          std::exp((value > c.latency_quantile ? kTimeoutQuantile : kTimeoutQuantile - 1) *
+                   std::max(gain, 0.05));
     }
-    double age = halved(s.slow_at, kSlowHalf);
-    s.slow_log *= age, s.slow_seen *= age;
-    s.slow_log += own * kSlowAlpha * (log_value - c.mean_log - s.slow_log);
-    s.slow_seen += own;
-    s.slow_at = now;
-  }
-
-  void note_success(ServerState& s) {
-    if (s.returned_at > 0 && now - s.returned_at > kReturnRamp) s.returned_at = 0, s.strikes = 0;
-    s.doubt = 0;
-  }
-
-  /// A failure is evidence against the server only as far as it is unusual: when a stopped origin
-  /// makes every server err, or overload makes all late, one more tells next to nothing (the
-  /// log-likelihood ratio of dead against alive, in units of a failure on a quiet day).
-  void note_failure(ServerState& s, double weight, double usual) {
-    weight *= std::log(std::max(usual, kUsualFailure)) / std::log(kUsualFailure);
-    s.doubt *= halved(s.doubt_at, kDoubtHalf);
-    s.doubt += weight;
-    s.doubt_at = now;
-    if (s.doubt < kDeadAt || now < s.dead_until) return;
-    Micros span = std::min(kDeadMax, kDeadFirst << std::min(s.strikes, 5));
-    s.dead_until = now + static_cast<Micros>(static_cast<double>(span) * (0.75 + 0.5 * random()));
-    s.returned_at = s.dead_until;  // gradual from there
-    s.strikes = std::min(s.strikes + 1, 8);
-    s.doubt = kDeadAt - 1;  // a trial's first failure is enough
-    refreshed = -1;
-  }
-
-  /// An attempt is out far longer than usual.
-  void note_stall(Attempt& a, double weight) {
+    double remaining = decay(s.latency_at, kLatencyRatioHalfLife);
+    s.log_latency_ratio *= remaining, s.latency_samples *= remaining;
+    s.log_latency_ratio +=
+        own_share * kLatencyRatioGain * (log_value - c.mean_log_latency - s.log_latency_ratio);
+    s.latency_samples += own_share;
+    s.latency_at = now;
+  }
+
+  void record_success(ServerState& s) {
+    if (s.ramp_start > 0 && now - s.ramp_start > kRampTime) s.ramp_start = 0, s.times_down = 0;
+    s.suspicion = 0;
+  }
+
+  /// A failure counts against the server only as far as it is unusual. When a stopped origin makes
+  /// every server fail, or overload makes all of them late, one more failure says next to nothing.
+  /// The weight is the log-likelihood ratio of down to up, in units of a failure at the baseline
+  /// rate.
+  void record_failure(ServerState& s, double weight, double usual_rate) {
+    weight *= std::log(std::max(usual_rate, kBaselineFailureRate)) / std::log(kBaselineFailureRate);
+    s.suspicion *= decay(s.suspicion_at, kSuspicionHalfLife);
+    s.suspicion += weight;
+    s.suspicion_at = now;
+    if (s.suspicion < kDownSuspicion || now < s.down_until) return;
+    Micros down_time = std::min(kMaxDownTime, kFirstDownTime << std::min(s.times_down, 5));
+    s.down_until =
+        now + static_cast<Micros>(static_cast<double>(down_time) * (0.75 + 0.5 * random()));
+    s.ramp_start = s.down_until;  // ramps up from there
+    s.times_down = std::min(s.times_down + 1, 8);
+    s.suspicion = kDownSuspicion - 1;  // one failed trial suffices
+    refreshed_at = -1;
+  }
+
+  /// Counts an attempt that has been in flight far longer than usual.
+  void record_stall(Attempt& a, double weight) {
     ServerState& s = servers[a.server];
-    if (!a.stalled && !busy(s)) note_bad(s, true, weight * own_part(a));
+    if (!a.stalled && !is_busy(s)) record_failure_share(s, true, weight * server_share(a));
     a.stalled = true;
-    if (!outlier(s)) follow(late, true);
-    note_failure(s, weight * own_part(a), late);
+    if (!is_outlier(s)) update_rate(late_rate, true);
+    record_failure(s, weight * server_share(a), late_rate);
   }
 
-  /// A client's try may be over before our patience is: what is out past the usual quantile says
-  /// half as much. Without it a silent server was never told from a busy one by short tries.
-  void note_given_up(const Open& o, Attempt& a) {
-    double part = static_cast<double>(now - a.sent) / static_cast<double>(patience(o));
-    if (part > 1 / kPatienceFactor) note_stall(a, part > 1 ? 1 : 0.5);
+  /// A client may give up before the attempt timeout: an attempt in flight longer than the latency
+  /// quantile counts half. Otherwise clients with short deadlines would never reveal a silent
+  /// server.
+  void record_abandoned(const OpenRequest& o, Attempt& a) {
+    double elapsed = static_cast<double>(now - a.sent_at) / static_cast<double>(attempt_timeout(o));
+    if (elapsed > 1 / kTimeoutFactor) record_stall(a, elapsed > 1 ? 1 : 0.5);
   }
 
-  /// How far the loss of an attempt is laid at its server's door: where fetches are lost at all
-  /// servers, one more says little of this one.
-  double own_part(const Attempt& a) const { return 1 - a.fetch * lim.fetches_lost(); }
+  /// The share of a lost attempt that is attributed to its server: when fetches are lost at all
+  /// servers, one more says little about this one.
+  double server_share(const Attempt& a) const {
+    return 1 - a.fetch_weight * attempt_limits.fetches_lost();
+  }
 
-  /// The part of its keys a server gives up for having been full. It returns with each success: by
-  /// time alone, a busy server that turned away one in twenty gave up nearly all. And with time,
-  /// for one that is seldom asked.
-  double crowding(const ServerState& s) const {
-    return s.crowded * halved(s.crowded_at, kFullHalf);
+  /// The fraction of its keys that a server gives up because of rejections. Each success restores a
+  /// part; with decay over time alone, a busy server that rejected one in twenty requests lost
+  /// nearly all keys. It also decays over time, for servers that get few requests.
+  double current_rejection_cut(const ServerState& s) const {
+    return s.rejection_cut * decay(s.rejection_cut_at, kRejectionCutHalfLife);
   }
 
-  void note_full(ServerState& s) {
-    if (s.util >= 0 && s.util < kBusyUtil) {
-      note_bad(s, true);
+  void record_rejection(ServerState& s) {
+    if (s.utilization >= 0 && s.utilization < kBusyUtilization) {
+      record_failure_share(s, true);
       return;
     }
-    double given = crowding(s);
-    s.crowded = given + (1 - given) * kFullGives * std::max(0.0, 1 - 4 * full);
-    s.crowded_at = now;
+    double cut = current_rejection_cut(s);
+    s.rejection_cut = cut + (1 - cut) * kRejectionCutStep * std::max(0.0, 1 - 4 * rejected_rate);
+    s.rejection_cut_at = now;
   }
 
-  void note_report(ServerState& s, const std::vector<double>& report) {
+  void record_report(ServerState& s, const std::vector<double>& report) {
     if (report.empty()) return;
     double heat = 0;
-    for (std::size_t k = 0; k < report.size() && k < set.report_fields.size(); ++k) {
-      double v = report[k];
-      if (!std::isfinite(v)) continue;
-      if (set.report_fields[k] == ReportField::Utilization) {
-        s.util = v;
-        util_mean += 0.03 * (v - util_mean);
-        // Against the fleet: were all hot servers to shed, nearly every key would move and miss.
-        heat = std::max(heat, (v - std::max(kHotUtil, util_mean + kHotMargin)) / (1 - kHotUtil));
-      } else if (set.report_fields[k] == ReportField::Queue) {
-        queue_mean += 0.03 * (v - queue_mean);
-        heat = std::max(heat, std::min(2.0, (v - 2 - 2 * queue_mean) / (2 + queue_mean)));
+    for (std::size_t k = 0; k < report.size() && k < settings.report_fields.size(); ++k) {
+      double value = report[k];
+      if (!std::isfinite(value)) continue;
+      if (settings.report_fields[k] == ReportField::Utilization) {
+        s.utilization = value;
+        mean_utilization += 0.03 * (value - mean_utilization);
+        // Relative to the fleet: if every hot server shed load, nearly every key would move and
+        // miss.
+        heat = std::max(
+            heat, (value - std::max(kHotUtilization, mean_utilization + kHotUtilizationMargin)) /
+                      (1 - kHotUtilization));
+      } else if (settings.report_fields[k] == ReportField::Queue) {
+        mean_queue += 0.03 * (value - mean_queue);
+        heat = std::max(heat, std::min(2.0, (value - 2 - 2 * mean_queue) / (2 + mean_queue)));
       }
     }
-    // A server that gave up most of its keys is seen rarely: its return goes by the time that
-    // passed.
-    double dt = static_cast<double>(now - s.report_at) / kSecond;
+    // A server that gave up most of its keys reports rarely, so its recovery depends on elapsed
+    // time.
+    double elapsed_s = static_cast<double>(now - s.report_at) / kSecond;
     s.report_at = now;
-    s.load_live *= std::exp(heat > 0 ? -kHotRate * heat * std::min(1.0, dt)
-                                     : kCoolRate * std::min(kCoolSpan, dt));
-    s.load_live = std::clamp(s.load_live, kHotFloor, 1.0);
+    s.load_fraction *=
+        std::exp(heat > 0 ? -kHotShedRate * heat * std::min(1.0, elapsed_s)
+                          : kLoadRecoveryRate * std::min(kMaxReportSpanSeconds, elapsed_s));
+    s.load_fraction = std::clamp(s.load_fraction, kHotMinLoadFraction, 1.0);
   }
 
   // ---- admission ----
-  double rate_fade() const {
-    return std::exp(-static_cast<double>(now - rate_at) / (kRateSpan * kSecond));
+  double rate_decay() const {
+    return std::exp(-static_cast<double>(now - rates_at) / (kRateDecaySeconds * kSecond));
   }
 
-  double rate_of(double sum) const {  // per second
-    double span = std::max(0.2, std::min(kRateSpan, static_cast<double>(now - born) / kSecond));
-    return sum * rate_fade() / span;
+  double rate_per_second(double sum) const {
+    double span =
+        std::max(0.2, std::min(kRateDecaySeconds, static_cast<double>(now - started_at) / kSecond));
+    return sum * rate_decay() / span;
   }
-  double sent_rate() const { return rate_of(rate_sum); }  // what is refused loads no server
+  double sent_rate() const { return rate_per_second(sent_sum); }  // refused requests load no server
 
-  /// What this router would send were nothing in its way: one that came back to cold servers alone
-  /// has sent nothing, and by that could never begin. First tries, within its part of the quotas,
-  /// while it is new; later what is asked and not sent is load that the fleet can't bear.
-  double due_rate() const {
-    if (static_cast<double>(now - born) > 2 * kRateSpan * kSecond) return sent_rate();
+  /// The rate that this router would send if nothing were refused. A router that restarts with only
+  /// cold servers has sent nothing, and by its sent rate could never start. So while it is new, the
+  /// rate counts clients' first tries up to its share of the quotas; later, requests that were not
+  /// sent are load that the fleet cannot handle.
+  double expected_rate() const {
+    if (static_cast<double>(now - started_at) > 2 * kRateDecaySeconds * kSecond) return sent_rate();
     double quota = 0;
-    for (const TenantSettings& t : set.tenants) quota += t.quota_per_s / set.routers;
-    return std::max(sent_rate(), std::min(rate_of(asked_sum), quota));
+    for (const TenantSettings& t : settings.tenants) quota += t.quota_per_s / settings.routers;
+    return std::max(sent_rate(), std::min(rate_per_second(first_try_sum), quota));
   }
 
-  double cost_of(const Open& o) const {
-    if (!o.request.work || mean_work <= 0) {  // no hints: by the latency usual for the class
-      const ClassState& c = classes[o.cls];
-      return c.seen < 5 ? 1 : std::clamp(std::exp(c.mean_log - mean_log), 0.2, 5.0);
+  double relative_cost(const OpenRequest& o) const {
+    if (!o.request.work ||
+        mean_work <= 0) {  // no expected work given: use the class's mean latency
+      const ClassState& c = classes[o.class_index];
+      return c.samples < 5 ? 1
+                           : std::clamp(std::exp(c.mean_log_latency - mean_log_latency), 0.2, 5.0);
     }
     return std::clamp(static_cast<double>(*o.request.work) / mean_work, 0.2, 5.0);
   }
 
-  /// Whether the request is turned away at the door.
-  bool turn_away(Open& o) {
-    const ClassSettings& c = set.classes[o.cls];
-    bool late = now - o.first >= c.latency_objective;  // a further try, by now
-    double value = (late ? c.late_worth : c.worth) / (set.worth_by_work ? 1 : cost_of(o));
-    // Of requests that can still be in time: against the late ones all the others look alike.
-    if (!late) mean_value += (mean_value <= 0 ? 1 : 0.02) * (value - mean_value);
-    double over = 0;
-    for (std::size_t t = 0; t < set.tenants.size(); ++t) {
-      if (set.tenants[t].name != o.request.tenant || set.tenants[t].quota_per_s <= 0) continue;
-      double quota = set.tenants[t].quota_per_s / std::max(1, set.routers);
-      over = std::max(0.0, 1 - quota * kRateSpan / std::max(1e-9, tenant_rate[t] * rate_fade()));
+  /// Whether admission sheds the request.
+  bool should_shed(OpenRequest& o) {
+    const ClassSettings& c = settings.classes[o.class_index];
+    // A retry that can no longer meet the objective.
+    bool late = now - o.first_try_at >= c.latency_objective;
+    double value =
+        (late ? c.late_worth : c.worth) / (settings.worth_by_work ? 1 : relative_cost(o));
+    // Only of requests that can still be in time: compared with late ones all others look alike.
+    if (!late) mean_worth += (mean_worth <= 0 ? 1 : 0.02) * (value - mean_worth);
+    double over_share = 0;
+    for (std::size_t t = 0; t < settings.tenants.size(); ++t) {
+      if (settings.tenants[t].name != o.request.tenant || settings.tenants[t].quota_per_s <= 0)
+        continue;
+      double quota = settings.tenants[t].quota_per_s / std::max(1, settings.routers);
+      over_share = std::max(
+          0.0, 1 - quota * kRateDecaySeconds / std::max(1e-9, tenant_rates[t] * rate_decay()));
     }
-    o.ask = {.name = try_name(o),
-             .held = o.held,
-             .wanted = o.seen >= kWantedSeen,
-             .write = o.request.write,
-             .late = late,
-             .value = mean_value > 0 ? value / mean_value : 1,
-             .over_share = over,
-             .remaining = o.request.remaining,
-             .aim = c.latency_objective};
-    return !lim.admits(now, o.ask);
-  }
-
-  void fade_rates() {
-    if (rate_at == now) return;
-    double fade = rate_fade();
-    rate_sum *= fade, asked_sum *= fade;
-    for (double& rate : tenant_rate) rate *= fade;
-    rate_at = now;
-  }
-
-  void count_arrival(const Open& o) {
-    fade_rates();
+    o.admission = {.name = request_hash(o),
+                   .held = o.cached,
+                   .wanted = o.key_count >= kPopularKeyCount,
+                   .write = o.request.write,
+                   .late = late,
+                   .value = mean_worth > 0 ? value / mean_worth : 1,
+                   .over_share = over_share,
+                   .remaining = o.request.remaining,
+                   .aim = c.latency_objective};
+    return !attempt_limits.admits(now, o.admission);
+  }
+
+  void decay_rates() {
+    if (rates_at == now) return;
+    double factor = rate_decay();
+    sent_sum *= factor, first_try_sum *= factor;
+    for (double& rate : tenant_rates) rate *= factor;
+    rates_at = now;
+  }
+
+  void count_arrival(const OpenRequest& o) {
+    decay_rates();
     if (o.request.work) {
       double work = static_cast<double>(*o.request.work);
       mean_work += (mean_work <= 0 ? 1 : 0.02) * (work - mean_work);
     }
-    if (o.first != o.came) return;
-    lim.earn();
-    asked_sum += cost_of(o);
+    if (o.first_try_at != o.arrived_at) return;
+    attempt_limits.earn();
+    first_try_sum += relative_cost(o);
   }
 
   // ---- attempts ----
-  bool tried(const Open& o, int server) const {
+  bool was_tried(const OpenRequest& o, int server) const {
     return std::any_of(o.attempts.begin(), o.attempts.end(),
                        [&](const Attempt& a) { return a.server == server; });
   }
-  bool any_out(const Open& o) const {
+  bool any_in_flight(const OpenRequest& o) const {
     return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [](const Attempt& a) { return a.ran == Ran::Out; });
+                       [](const Attempt& a) { return a.run_state == RunState::InFlight; });
   }
-  bool may_have_run(const Open& o) const {
+  bool may_have_run(const OpenRequest& o) const {
     return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [](const Attempt& a) { return a.ran != Ran::Never; });
+                       [](const Attempt& a) { return a.run_state != RunState::NotRun; });
   }
 
-  Effect effect_of(const Open& o) const {
-    Effect effect = set.classes[o.cls].effect;
+  Effect effect_of(const OpenRequest& o) const {
+    Effect effect = settings.classes[o.class_index].effect;
     return effect == Effect::Keyed && o.request.lacks_idempotency_key ? Effect::Once : effect;
   }
 
-  /// Rules 2 and 3 for one more attempt at `server`.
-  bool may_send(const Open& o, int server) const {
+  /// Whether a further attempt at `server` is allowed: no unsafe repeats, no server that is
+  /// leaving.
+  bool may_send(const OpenRequest& o, int server) const {
     const ServerState& to = servers[server];
-    if (!usable(to) || static_cast<int>(o.attempts.size()) >= set.max_attempts) return false;
-    if (!set.may_hedge && any_out(o)) return false;
-    const ClassSettings& c = set.classes[o.cls];
+    if (!usable(to) || static_cast<int>(o.attempts.size()) >= settings.max_attempts) return false;
+    if (!settings.may_hedge && any_in_flight(o)) return false;
+    const ClassSettings& c = settings.classes[o.class_index];
     if (effect_of(o) == Effect::Repeatable) return true;
-    // What earlier tries of the write may have done binds as well.
-    if (const recovery::Writes::First* first = o.write ? writes.first(o.write) : nullptr)
-      if (!recovery::Writes::drops(c, *first, now + 2 * set.tick, to.listed)) return false;
+    // Earlier tries of the write count as well.
+    if (const recovery::Writes::First* first =
+            o.write_hash ? keyed_writes.first(o.write_hash) : nullptr)
+      if (!recovery::Writes::drops(c, *first, now + 2 * settings.tick, to.entry)) return false;
     for (const Attempt& a : o.attempts) {
-      if (a.ran == Ran::Never) continue;
+      if (a.run_state == RunState::NotRun) continue;
       if (effect_of(o) == Effect::Once) return false;
-      if (now + 2 * set.tick >= a.sent + c.key_ttl) return false;
-      const Server& from = servers[a.server].listed;
-      if (c.group == Group::Zone && from.zone != to.listed.zone) return false;
-      if (c.group == Group::Cell && (from.cell < 0 || from.cell != to.listed.cell)) return false;
+      if (now + 2 * settings.tick >= a.sent_at + c.key_ttl) return false;
+      const Server& from = servers[a.server].entry;
+      if (c.group == Group::Zone && from.zone != to.entry.zone) return false;
+      if (c.group == Group::Cell && (from.cell < 0 || from.cell != to.entry.cell)) return false;
     }
     return true;
   }
 
-  bool may_refuse(const Open& o) const {
-    const ClassSettings& c = set.classes[o.cls];
-    const recovery::Writes::First* first = o.write ? writes.first(o.write) : nullptr;
+  bool may_refuse(const OpenRequest& o) const {
+    const ClassSettings& c = settings.classes[o.class_index];
+    const recovery::Writes::First* first =
+        o.write_hash ? keyed_writes.first(o.write_hash) : nullptr;
     if (effect_of(o) == Effect::Repeatable || !(first || may_have_run(o))) return true;
-    if (first && now + 2 * set.tick >= first->sent + c.key_ttl) return false;  // not harmless then
+    // A retry might run it again.
+    if (first && now + 2 * settings.tick >= first->sent + c.key_ttl) return false;
     return effect_of(o) == Effect::Keyed && c.group == Group::All;
   }
 
-  /// What an attempt's end says of load.
+  /// What an attempt's end says about load.
   limits::Evidence evidence(const Attempt& a, Status status) const {
     if (status == Status::Ok) return limits::Evidence::Good;
     bool lost = status == Status::Error || status == Status::Timeout ||
@@ -752,69 +842,73 @@
     return lost ? limits::Evidence::Bad : limits::Evidence::None;
   }
 
-  void timer(Micros after, RequestId id, TimerKind kind) {
-    out.push_back(Timer{std::max<Micros>(after, 1), id << 2 | kind});
+  void add_timer(Micros delay, RequestId id, TimerKind kind) {
+    actions.push_back(Timer{std::max<Micros>(delay, 1), id << 2 | kind});
   }
 
-  /// Requests of one client's tries have it in common.
-  std::uint64_t try_name(const Open& o) const {
-    return mix(o.name ^ hash_name(o.request.tenant) ^ static_cast<std::uint64_t>(o.cls));
+  /// The same for all tries of one client's request.
+  std::uint64_t request_hash(const OpenRequest& o) const {
+    return mix(o.key_hash ^ hash_name(o.request.tenant) ^
+               static_cast<std::uint64_t>(o.class_index));
   }
 
-  /// Its client, unserved, may come again.
-  void end_unserved(Open& o) {
+  /// Closes a request without an answer; its client may retry.
+  void close_unserved(OpenRequest& o) {
     o.closed = true;
-    lim.repeats().leave(try_name(o), o.first);
+    attempt_limits.repeats().leave(request_hash(o), o.first_try_at);
   }
 
-  void finish(Open& o) {
+  void refuse_or_fail(OpenRequest& o) {
     if (o.closed) return;
-    end_unserved(o);
-    if (!o.attempts.empty()) ++given_up;
-    // What never ran says nothing of where its key is.
-    if (may_have_run(o)) note_end(o, false);
-    double chance = depth_of(mix(o.request.id));
-    Micros wait = lim.come_back(now, chance);
-    if (set.poll_list && !asks.usable())  // nothing is served before the list has come
-      wait = std::clamp(asks.list_in(asking ? 0 : ask_at - now, chance), wait, set.max_retry_after);
+    close_unserved(o);
+    if (!o.attempts.empty()) ++failed_after_attempts;
+    // An attempt that did not run says nothing about where the key is held.
+    if (may_have_run(o)) record_key_cached(o, false);
+    double chance = position_in_slot(mix(o.request.id));
+    Micros retry_after = attempt_limits.come_back(now, chance);
+    // Nothing can be served before the list arrives.
+    if (settings.poll_list && !discovery_backoff.usable())
+      retry_after = std::clamp(discovery_backoff.list_in(polling ? 0 : next_poll_at - now, chance),
+                               retry_after, settings.max_retry_after);
     if (may_refuse(o))
-      out.push_back(Refuse{o.request.id, wait});
+      actions.push_back(Refuse{o.request.id, retry_after});
     else
-      out.push_back(Fail{o.request.id});
-    cancel_rest(o);
+      actions.push_back(Fail{o.request.id});
+    cancel_in_flight(o);
   }
 
-  void cancel_rest(const Open& o, int except = -1) {
-    if (!set.may_cancel) return;
+  void cancel_in_flight(const OpenRequest& o, int except = -1) {
+    if (!settings.may_cancel) return;
     for (std::size_t k = 0; k < o.attempts.size(); ++k)
-      if (o.attempts[k].ran == Ran::Out && static_cast<int>(k) != except)
-        out.push_back(Cancel{o.request.id, static_cast<int>(k)});
+      if (o.attempts[k].run_state == RunState::InFlight && static_cast<int>(k) != except)
+        actions.push_back(Cancel{o.request.id, static_cast<int>(k)});
   }
 
-  void forget_if_done(RequestId id) {
-    auto it = open.find(id);
-    if (it == open.end() || !it->second.closed || any_out(it->second)) return;
-    for (const Attempt& a : it->second.attempts) --servers[a.server].kept;
-    open.erase(it);
+  void erase_if_done(RequestId id) {
+    auto it = open_requests.find(id);
+    if (it == open_requests.end() || !it->second.closed || any_in_flight(it->second)) return;
+    for (const Attempt& a : it->second.attempts) --servers[a.server].attempt_refs;
+    open_requests.erase(it);
   }
 
-  Micros patience(const Open& o) const {
-    const ClassState& c = classes[o.cls];
-    double usual =
-        c.seen > 0 ? c.quantile : static_cast<double>(set.classes[o.cls].latency_objective) / 2;
+  Micros attempt_timeout(const OpenRequest& o) const {
+    const ClassState& c = classes[o.class_index];
+    double usual = c.samples > 0
+                       ? c.latency_quantile
+                       : static_cast<double>(settings.classes[o.class_index].latency_objective) / 2;
     return static_cast<Micros>(
-        std::max(kPatienceFactor * usual, 4.0 * static_cast<double>(set.tick)));
+        std::max(kTimeoutFactor * usual, 4.0 * static_cast<double>(settings.tick)));
   }
 
-  /// Aside mode: writes, and reads that a cache answered with a miss, go to the origin.
-  bool wants_origin(const Open& o) const {
-    return set.cache_aside && !set.origin_kind.empty() && (o.request.write || o.missed);
+  /// Cache-aside mode: writes and reads that missed go to the origin.
+  bool goes_to_origin(const OpenRequest& o) const {
+    return settings.cache_aside && !settings.origin_kind.empty() && (o.request.write || o.missed);
   }
 
-  /// The origin is never carved: its usable member with the fewest own attempts out.
-  bool send_to_origin(Open& o) {
+  /// The origin has no slots: picks its usable server with the fewest attempts in flight.
+  bool send_to_origin(OpenRequest& o) {
     int best = -1;
-    for (const auto& [id, i] : index)
+    for (const auto& [id, i] : server_index)
       if (is_origin(servers[i]) && may_send(o, i) &&
           (best < 0 || servers[i].in_flight < servers[best].in_flight))
         best = i;
@@ -823,157 +917,167 @@
     return true;
   }
 
-  /// Sends the request onward along its walk; false when no server may take it.
-  bool send(Open& o) {
-    refresh();
-    if (wants_origin(o)) return send_to_origin(o);
+  /// Sends the next attempt along the request's walk; false when no server may take it.
+  bool send_attempt(OpenRequest& o) {
+    refresh_fleet_state();
+    if (goes_to_origin(o)) return send_to_origin(o);
     bool first = o.attempts.empty();
-    bool keep_near = false;
-    Saved* key = first && !o.request.key.empty() ? &seed_of(o.name) : nullptr;
-    if (first) o.seed = key ? key->seed : mix(rng = mix(rng + 1));
-    if (set.cross_zone_charge > 0 && near_pull > 0) keep_near = first ? popular(o.seen) : true;
-    Landing at = walk(o.seed, o, keep_near);
-    if (at.server < 0 && keep_near) at = walk(o.seed, o, false);
-    if (at.server < 0) return false;
-    o.seed = at.seed;
-    if (first)  // admitted ones only: clients repeat what is refused, which is no use of the quota
-      for (std::size_t t = 0; t < set.tenants.size(); ++t)
-        tenant_rate[t] += set.tenants[t].name == o.request.tenant;
-    if (key) {
-      if (key->drawn++ == 0) key->home = at.server;
-      key->seed = at.seed;
+    bool prefer_own_zone = false;
+    SavedSeed* saved_seed =
+        first && !o.request.key.empty() ? &advance_saved_seed(o.key_hash) : nullptr;
+    if (first) o.seed = saved_seed ? saved_seed->seed : mix(rng = mix(rng + 1));
+    if (settings.cross_zone_charge > 0 && zone_affinity > 0)
+      prefer_own_zone = first ? justifies_zone_replica(o.key_count) : true;
+    Landing landing = walk(o.seed, o, prefer_own_zone);
+    if (landing.server < 0 && prefer_own_zone) landing = walk(o.seed, o, false);
+    if (landing.server < 0) return false;
+    o.seed = landing.seed;
+    if (first)  // only admitted requests use the quota, since clients retry those that are refused
+      for (std::size_t t = 0; t < settings.tenants.size(); ++t)
+        tenant_rates[t] += settings.tenants[t].name == o.request.tenant;
+    if (saved_seed) {
+      if (saved_seed->landings++ == 0) saved_seed->home_server = landing.server;
+      saved_seed->seed = landing.seed;
     }
-    dispatch(o, at.server, at.fetch);
+    dispatch(o, landing.server, landing.fetch_weight);
     return true;
   }
 
-  void dispatch(Open& o, int server, double fetch) {
+  void dispatch(OpenRequest& o, int server, double fetch_weight) {
     ServerState& s = servers[server];
-    if (!o.attempts.empty()) ++(any_out(o) ? copies : retries);
-    trials += s.returned_at > 0 && s.doubt > 0;
+    if (!o.attempts.empty()) ++(any_in_flight(o) ? hedges : retries);
+    trials += s.ramp_start > 0 && s.suspicion > 0;
     o.attempts.push_back({server, now});
-    o.attempts.back().fetch = fetch;
-    if (o.write) writes.sent(now, o.write, s.listed);
+    o.attempts.back().fetch_weight = fetch_weight;
+    if (o.write_hash) keyed_writes.sent(now, o.write_hash, s.entry);
     s.window->sent(now, 1);
-    lim.sent(now, o.attempts.back().fetch);
-    ++s.in_flight, ++s.kept, ++total_in_flight;
-    fade_rates();
-    rate_sum += cost_of(o);
-    if (cold(s)) s.slow_start.sent(cost_of(o));
-    Micros left = o.deadline - now;
-    Micros wait = patience(o);
-    bool again = static_cast<int>(o.attempts.size()) < set.max_attempts &&
-                 effect_of(o) != Effect::Once && !set.classes[o.cls].streamed;
-    Micros limit = 0;
-    if (again && wait * 3 / 2 < left && !is_origin(s)) {  // never a second copy at the origin
-      if (set.may_hedge)
-        timer(wait, o.request.id, kCopyTimer);
+    attempt_limits.sent(now, o.attempts.back().fetch_weight);
+    ++s.in_flight, ++s.attempt_refs, ++total_in_flight;
+    decay_rates();
+    sent_sum += relative_cost(o);
+    if (is_cold(s)) s.slow_start.sent(relative_cost(o));
+    Micros time_left = o.deadline - now;
+    Micros timeout = attempt_timeout(o);
+    bool may_follow = static_cast<int>(o.attempts.size()) < settings.max_attempts &&
+                      effect_of(o) != Effect::Once && !settings.classes[o.class_index].streamed;
+    Micros send_timeout = 0;
+    if (may_follow && timeout * 3 / 2 < time_left &&
+        !is_origin(s)) {  // attempts at the origin are not hedged
+      if (settings.may_hedge)
+        add_timer(timeout, o.request.id, kHedgeTimer);
       else
-        limit = wait;
+        send_timeout = timeout;
     }
-    out.push_back(Send{o.request.id, s.listed.id, limit});
+    actions.push_back(Send{o.request.id, s.entry.id, send_timeout});
   }
 
-  void go_on(Open& o, Status why) {
-    if (o.closed || any_out(o)) return;
-    bool broken = why == Status::ConnectFailed || why == Status::Reset ||
-                  why == Status::Malformed || why == Status::ConnectionLimit;
+  void retry_or_finish(OpenRequest& o, Status status) {
+    if (o.closed || any_in_flight(o)) return;
+    bool broken = status == Status::ConnectFailed || status == Status::Reset ||
+                  status == Status::Malformed || status == Status::ConnectionLimit;
     const ServerState& last = servers[o.attempts.back().server];
-    broken |= outlier(last);  // the fault is that server's alone
+    broken |= is_outlier(last);  // the fault is only that server's
     limits::Cause cause = broken ? limits::Cause::Broken
-                          : why == Status::Rejected || why == Status::NotSent
+                          : status == Status::Rejected || status == Status::NotSent
                               ? limits::Cause::Unseen
                               : limits::Cause::Load;
-    bool time_left = o.deadline - now > 2 * set.tick;
-    if (why == Status::Miss && is_origin(last)) return finish(o);  // nobody else has it either
-    if (why == Status::Miss && time_left && send(o)) return;       // no failure: no tokens
-    // A fetch that failed ends in an error, and another server would only ask the origin once more:
-    // what jams it. While errors are rare a further attempt costs little and may well serve: one
-    // error in three attempts is no reason to refuse. Where fetches are short it is.
+    bool time_left = o.deadline - now > 2 * settings.tick;
+    // No other server has it either.
+    if (status == Status::Miss && is_origin(last)) return refuse_or_fail(o);
+    // Not a failure: costs no tokens.
+    if (status == Status::Miss && time_left && send_attempt(o)) return;
+    // A failed fetch ends in an error, and another server would only fetch from the origin again,
+    // which keeps it overloaded. While errors are rare a further attempt costs little and often
+    // succeeds, so one error in a router's first three attempts must not deny it. A high error rate
+    // or a lack of fetch capacity does.
     bool futile =
-        why == Status::Error && !broken && (errors > kFutileErrors || !lim.may_spill(now, o.ask));
-    // Nor anything while requests are refused: a retry would take the place of a first try. Broken
-    // connections, spoilt answers and servers at fault are no sign of load, and their share is
-    // bounded by the tokens.
-    futile |= !broken && (lim.pressed(now) || !lim.has_room(now, lim.fetch_weight(o.ask)));
-    if (!futile && time_left && lim.spend(cause) && send(o)) return;
-    finish(o);
+        status == Status::Error && !broken &&
+        (error_rate > kMaxErrorRateForRetry || !attempt_limits.may_spill(now, o.admission));
+    // While requests are shed nothing is retried: a retry would take the place of a first try.
+    // Broken connections, malformed answers and faulty servers are no sign of load; the tokens
+    // bound their retries.
+    futile |= !broken && (attempt_limits.pressed(now) ||
+                          !attempt_limits.has_room(now, attempt_limits.fetch_weight(o.admission)));
+    if (!futile && time_left && attempt_limits.spend(cause) && send_attempt(o)) return;
+    refuse_or_fail(o);
   }
 
   // ---- list ----
-  void saw(int source, bool trouble) {
-    company.saw(now, source, trouble);
-    if (company.freed()) lim.came_alone();
+  void record_restart_sample(int source, bool trouble) {
+    tier_restart.saw(now, source, trouble);
+    if (tier_restart.freed()) attempt_limits.came_alone();
   }
 
-  void ask(Micros after) {
-    ask_at = now + after;
-    timer(after, ++ask_token, kAskTimer);
+  void schedule_poll(Micros delay) {
+    next_poll_at = now + delay;
+    add_timer(delay, ++poll_token, kPollTimer);
   }
 
-  void list_failed() {
-    watching = asking = false;
-    saw(recovery::Company::kDiscovery, true);
-    ask(asks.failed(random()));
+  void on_list_failure() {
+    watching = polling = false;
+    record_restart_sample(recovery::Company::kDiscovery, true);
+    schedule_poll(discovery_backoff.failed(random()));
   }
 
-  /// A server of a list that nobody has confirmed yet was not there: it may be an old list.
-  void doubt_list(int server) {
-    if (!set.poll_list || watching || asking || !asks.doubted(server)) return;
-    asks.hold(false);
-    ask(asks.first(random()));
+  /// A server of an unconfirmed list cannot be reached: the list may be out of date.
+  void record_unreachable(int server) {
+    if (!settings.poll_list || watching || polling || !discovery_backoff.doubted(server)) return;
+    discovery_backoff.hold(false);
+    schedule_poll(discovery_backoff.first(random()));
   }
 
-  void take_entry(const Server& e) {
-    auto it = index.find(e.id);
-    if (it == index.end()) {
-      if (e.health == Health::Gone) return;
-      if (vacant.empty())
-        vacant.push_back(static_cast<int>(servers.size())), servers.emplace_back();
-      servers[vacant.back()].window = lim.server_rule();
-      it = index.emplace(e.id, vacant.back()).first;
-      vacant.pop_back();
+  void apply_entry(const Server& entry) {
+    auto it = server_index.find(entry.id);
+    if (it == server_index.end()) {
+      if (entry.health == Health::Gone) return;
+      if (free_indices.empty())
+        free_indices.push_back(static_cast<int>(servers.size())), servers.emplace_back();
+      servers[free_indices.back()].window = attempt_limits.server_rule();
+      it = server_index.emplace(entry.id, free_indices.back()).first;
+      free_indices.pop_back();
     }
     ServerState& s = servers[it->second];
-    bool restarted = e.up_since != s.listed.up_since || !s.present;
-    Server was = std::move(s.listed);
-    s.listed = e;
-    if (!std::isfinite(e.weight) || e.weight < 0) s.listed.weight = 1;
-    if (e.health == Health::Gone && e.zone.empty())
-      s.listed.zone = was.zone, s.listed.cell = was.cell;
-    s.present = e.health != Health::Gone;
-    if (restarted && s.present) {  // a new process: what was held against the old one is void
-      s.doubt = 0, s.strikes = 0, s.dead_until = 0, s.returned_at = 0;
-      s.slow_log = 0, s.slow_seen = 0, s.load_live = 1, s.crowded = 0, s.bad_share = 0;
+    bool restarted = entry.up_since != s.entry.up_since || !s.present;
+    Server previous = std::move(s.entry);
+    s.entry = entry;
+    if (!std::isfinite(entry.weight) || entry.weight < 0) s.entry.weight = 1;
+    if (entry.health == Health::Gone && entry.zone.empty())
+      s.entry.zone = previous.zone, s.entry.cell = previous.cell;
+    s.present = entry.health != Health::Gone;
+    if (restarted && s.present) {  // a new process: the old one's faults do not count
+      s.suspicion = 0, s.times_down = 0, s.down_until = 0, s.ramp_start = 0;
+      s.log_latency_ratio = 0, s.latency_samples = 0, s.load_fraction = 1, s.rejection_cut = 0,
+      s.failure_share = 0;
       s.slow_start.reset(now, random());
       s.window->reset();
     }
   }
 
-  /// Frees what is kept of servers that are gone, once no open request was sent there: ids are ever
-  /// new, and what an attempt may have done is judged by where it was sent.
-  void forget_gone() {
-    for (auto it = index.begin(); it != index.end();) {
+  /// Erases servers that are gone and were not used by any open request. Ids are always new, so the
+  /// state would grow without bound; open requests need the server's entry to judge what an attempt
+  /// there may have done.
+  void erase_gone_servers() {
+    for (auto it = server_index.begin(); it != server_index.end();) {
       int i = it->second;
-      if (servers[i].present || servers[i].kept > 0) {
+      if (servers[i].present || servers[i].attempt_refs > 0) {
         ++it;
         continue;
       }
       servers[i] = ServerState();
-      lim.forget(static_cast<std::size_t>(i));
-      vacant.push_back(i);
-      for (auto& [name, s] : saved)
-        if (s.home == i) s.home = -1;
-      it = index.erase(it);
+      attempt_limits.forget(static_cast<std::size_t>(i));
+      free_indices.push_back(i);
+      for (auto& [name, s] : saved_seeds)
+        if (s.home_server == i) s.home_server = -1;
+      it = server_index.erase(it);
     }
     std::set<std::string> kinds;
-    for (const auto& [id, i] : index) kinds.insert(servers[i].listed.kind);
-    paces.keep(kinds);
+    for (const auto& [id, i] : server_index) kinds.insert(servers[i].entry.kind);
+    kind_speeds.keep(kinds);
   }
 
-  void tick(Micros t) {
+  void begin_event(Micros t) {
     now = std::max(now, t);
-    out.clear();
+    actions.clear();
   }
 };
 
@@ -983,10 +1087,10 @@
   Impl& m = *impl_;
   limits::check_settings(settings);
   m.rng = mix(seed);
-  m.company = recovery::Company(settings.routers, now);
-  m.now = m.born = m.rate_at = m.generation_at = now;
+  m.tier_restart = recovery::Company(settings.routers, now);
+  m.now = m.started_at = m.rates_at = m.generation_start = now;
   m.classes.resize(settings.classes.size());
-  m.tenant_rate.resize(settings.tenants.size());
+  m.tenant_rates.resize(settings.tenants.size());
 }
 Balancer::~Balancer() = default;
 Balancer::Balancer(Balancer&&) noexcept = default;
@@ -994,289 +1098,299 @@
 
 Actions Balancer::start(Micros now) {
   Impl& m = *impl_;
-  m.tick(now);
-  m.asks.hold(true);  // until the held list has been seen
-  if (m.set.poll_list) m.ask(m.asks.first(m.random()));
-  return std::move(m.out);
+  m.begin_event(now);
+  m.discovery_backoff.hold(true);  // until the persisted list has been read
+  if (m.settings.poll_list) m.schedule_poll(m.discovery_backoff.first(m.random()));
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_list(Micros now, ListScope scope, const std::vector<Server>& entries) {
   Impl& m = *impl_;
-  m.tick(now);
+  m.begin_event(now);
   if (scope == ListScope::Failed) {
-    m.list_failed();
-    return std::move(m.out);
+    m.on_list_failure();
+    return std::move(m.actions);
   }
-  bool held = scope == ListScope::Cached || scope == ListScope::Unverified;
-  if (!held) m.lim.list_told();
-  if (!held && m.asking) m.asking = false, m.watching = true, m.asks.told();
+  bool unconfirmed = scope == ListScope::Cached || scope == ListScope::Unverified;
+  if (!unconfirmed) m.attempt_limits.list_told();
+  if (!unconfirmed && m.polling) m.polling = false, m.watching = true, m.discovery_backoff.told();
   if (scope != ListScope::Delta) {
-    std::map<std::string, bool> named;
-    for (const Server& e : entries) named[e.id] = true;
-    for (auto& [id, i] : m.index)
-      if (!named.count(id)) m.servers[i].present = false, m.servers[i].listed.health = Health::Gone;
-  }
-  for (const Server& e : entries) m.take_entry(e);
-  m.forget_gone();
-  if (!held) {
-    auto all = [&](auto test) {
+    std::map<std::string, bool> listed;
+    for (const Server& e : entries) listed[e.id] = true;
+    for (auto& [id, i] : m.server_index)
+      if (!listed.count(id)) m.servers[i].present = false, m.servers[i].entry.health = Health::Gone;
+  }
+  for (const Server& e : entries) m.apply_entry(e);
+  m.erase_gone_servers();
+  if (!unconfirmed) {
+    auto count_servers = [&](auto test) {
       return static_cast<int>(std::count_if(m.servers.begin(), m.servers.end(), test));
     };
-    m.company.list(m.now, all([&](const auto& s) { return m.usable(s); }),
-                   all([&](const auto& s) { return m.usable(s) && m.cold(s); }));
-  }
-  m.carve();
-  m.asks.hold(std::any_of(m.servers.begin(), m.servers.end(),
-                          [&](const Impl::ServerState& s) { return m.usable(s); }));
-  bool usable = m.asks.usable();
-  if (scope == ListScope::Unverified) m.asks.hold(false);
-  if (held && m.set.poll_list && !m.asks.usable()) m.ask(m.asks.first(m.random()));
-  m.asks.hold(usable);
-  return std::move(m.out);
+    m.tier_restart.list(m.now, count_servers([&](const auto& s) { return m.usable(s); }),
+                        count_servers([&](const auto& s) { return m.usable(s) && m.is_cold(s); }));
+  }
+  m.assign_slots();
+  m.discovery_backoff.hold(std::any_of(m.servers.begin(), m.servers.end(),
+                                       [&](const Impl::ServerState& s) { return m.usable(s); }));
+  bool usable = m.discovery_backoff.usable();
+  if (scope == ListScope::Unverified) m.discovery_backoff.hold(false);
+  if (unconfirmed && m.settings.poll_list && !m.discovery_backoff.usable())
+    m.schedule_poll(m.discovery_backoff.first(m.random()));
+  m.discovery_backoff.hold(usable);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_request(Micros now, const Request& request) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto [it, fresh] = m.open.try_emplace(request.id);
-  if (!fresh) return {};
-  Impl::Open& o = it->second;
+  m.begin_event(now);
+  auto [it, inserted] = m.open_requests.try_emplace(request.id);
+  if (!inserted) return {};
+  Impl::OpenRequest& o = it->second;
   o.request = request;
-  for (std::size_t k = 0; k < m.set.classes.size(); ++k)
-    if (m.set.classes[k].name == request.class_name) o.cls = static_cast<int>(k);
-  o.came = m.now;
+  for (std::size_t k = 0; k < m.settings.classes.size(); ++k)
+    if (m.settings.classes[k].name == request.class_name) o.class_index = static_cast<int>(k);
+  o.arrived_at = m.now;
   o.deadline = m.now + std::max<Micros>(0, request.remaining);
-  o.name = hash_name(request.key);
+  o.key_hash = hash_name(request.key);
   if (request.write && m.effect_of(o) == Effect::Keyed && !request.idempotency_key.empty()) {
-    m.writes.expire(m.now);
-    o.write = mix(hash_name(request.idempotency_key) + static_cast<std::uint64_t>(o.cls));
-    // Its first try may have been at another router, or here before a restart.
-    if (request.retry) m.writes.presume(m.now, o.write, m.set.classes[o.cls].deadline);
-  }
-  o.first = m.lim.repeats().take(m.now, m.try_name(o), m.set.classes[o.cls].deadline);
+    m.keyed_writes.expire(m.now);
+    o.write_hash =
+        mix(hash_name(request.idempotency_key) + static_cast<std::uint64_t>(o.class_index));
+    // Its first try may have gone to another router, or to this one before a restart.
+    if (request.retry)
+      m.keyed_writes.presume(m.now, o.write_hash, m.settings.classes[o.class_index].deadline);
+  }
+  o.first_try_at = m.attempt_limits.repeats().take(m.now, m.request_hash(o),
+                                                   m.settings.classes[o.class_index].deadline);
   m.count_arrival(o);
   if (!request.key.empty()) m.count_key(o);
-  bool away = m.turn_away(o);
-  if (away || !m.send(o)) {
-    ++(away ? m.turned_away : m.unsendable);
-    m.finish(o);
-    m.forget_if_done(request.id);
-    return std::move(m.out);
-  }
-  // The last moment for an answer of our own, a little ahead of the client's.
-  m.timer(request.remaining - 2 * m.set.tick, request.id, kDeadlineTimer);
-  return std::move(m.out);
+  bool shed = m.should_shed(o);
+  if (shed || !m.send_attempt(o)) {
+    ++(shed ? m.shed : m.unroutable);
+    m.refuse_or_fail(o);
+    m.erase_if_done(request.id);
+    return std::move(m.actions);
+  }
+  // The last moment for the router's own answer, slightly before the client gives up.
+  m.add_timer(request.remaining - 2 * m.settings.tick, request.id, kDeadlineTimer);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_answer_start(Micros now, RequestId id, const std::string& server, int attempt,
                                   Micros) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(id);
-  auto at = m.index.find(server);
-  if (it == m.open.end() || at == m.index.end() || attempt < 0) return {};
-  Impl::Open& o = it->second;
-  m.note_success(m.servers[at->second]);
-  // The stream belongs to the client from here: no deadline, no further attempts.
+  m.begin_event(now);
+  auto it = m.open_requests.find(id);
+  auto at = m.server_index.find(server);
+  if (it == m.open_requests.end() || at == m.server_index.end() || attempt < 0) return {};
+  Impl::OpenRequest& o = it->second;
+  m.record_success(m.servers[at->second]);
+  // The answer streams to the client from here on: no deadline, no further attempts.
   o.closed = true;
-  m.cancel_rest(o, attempt);
-  return std::move(m.out);
+  m.cancel_in_flight(o, attempt);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_outcome(Micros now, const Outcome& r) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(r.id);
-  if (it == m.open.end()) return {};
-  Impl::Open& o = it->second;
+  m.begin_event(now);
+  auto it = m.open_requests.find(r.id);
+  if (it == m.open_requests.end()) return {};
+  Impl::OpenRequest& o = it->second;
   if (r.attempt < 0 || r.attempt >= static_cast<int>(o.attempts.size())) return {};
   Impl::Attempt& a = o.attempts[r.attempt];
-  if (a.ran != Impl::Ran::Out) return {};
+  if (a.run_state != Impl::RunState::InFlight) return {};
   Impl::ServerState& s = m.servers[a.server];
   --s.in_flight, --m.total_in_flight;
-  bool never = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
-               r.status == Status::NotSent || r.status == Status::Miss ||
-               r.status == Status::ConnectionLimit;
-  a.ran = never ? Impl::Ran::Never : Impl::Ran::Maybe;
-  if (never && o.write) m.writes.never_ran(o.write);
-  bool turned_off = r.status == Status::Rejected || r.status == Status::ConnectionLimit;
-  if (turned_off || r.status == Status::Ok) m.saw(a.server, turned_off);
-  m.note_report(s, r.report);
-  // Fullness and silence are judged by what the server's cores do.
+  bool not_run = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
+                 r.status == Status::NotSent || r.status == Status::Miss ||
+                 r.status == Status::ConnectionLimit;
+  a.run_state = not_run ? Impl::RunState::NotRun : Impl::RunState::MayHaveRun;
+  if (not_run && o.write_hash) m.keyed_writes.never_ran(o.write_hash);
+  bool no_capacity = r.status == Status::Rejected || r.status == Status::ConnectionLimit;
+  if (no_capacity || r.status == Status::Ok) m.record_restart_sample(a.server, no_capacity);
+  m.record_report(s, r.report);
+  // Rejections and silence are judged together with the server's utilization.
   if (r.status == Status::Rejected)
-    m.note_full(s);
+    m.record_rejection(s);
   else if (r.status == Status::Timeout)
-    m.note_stall(a, 1);
+    m.record_stall(a, 1);
   else if (r.status == Status::Cancelled && r.paused &&
-           m.now - a.sent >= m.set.classes[o.cls].latency_objective)
-    m.note_given_up(o, a);  // sooner, it is the caller's haste that it tells of
+           m.now - a.sent_at >= m.settings.classes[o.class_index].latency_objective)
+    m.record_abandoned(o, a);  // any sooner, the client's short deadline is the cause
   else if (r.status != Status::Cancelled && r.status != Status::NotSent &&
            r.status != Status::ConnectionLimit && !a.stalled)
-    m.note_bad(s, r.status != Status::Ok && r.status != Status::Miss, m.own_part(a));
-  // Longer than its client waited is no measurement, but a clock that was stepped or stood still.
-  Micros latency = std::min(r.latency, std::max<Micros>(o.request.remaining, m.set.tick));
+    m.record_failure_share(s, r.status != Status::Ok && r.status != Status::Miss,
+                           m.server_share(a));
+  // A latency longer than the client waited comes from a clock step or a process pause.
+  Micros latency = std::min(r.latency, std::max<Micros>(o.request.remaining, m.settings.tick));
   limits::Evidence load = m.evidence(a, r.status);
-  m.lim.ended(m.now, a.sent, static_cast<std::size_t>(a.server), a.fetch, load,
-              m.outlier(s) || s.doubt >= kServerErrs, latency, r.cache_result, o.ask);
-  // The origin's part of a fetch says nothing of the server's own queue.
-  if (r.status == Status::Rejected && s.util >= kBusyUtil)
+  m.attempt_limits.ended(m.now, a.sent_at, static_cast<std::size_t>(a.server), a.fetch_weight, load,
+                         m.is_outlier(s) || s.suspicion >= kServerFaultSuspicion, latency,
+                         r.cache_result, o.admission);
+  // The origin's part of a fetch says nothing about the server's own queue.
+  if (r.status == Status::Rejected && s.utilization >= kBusyUtilization)
     load = limits::Evidence::Bad;
   else if (load == limits::Evidence::Bad || r.cache_result > 1 || o.request.write)
     load = limits::Evidence::None;
-  s.window->ended(m.now, a.sent, 1, load, static_cast<double>(latency) / m.cost_of(o),
-                  static_cast<double>(m.set.classes[o.cls].latency_objective) / 2);
-  // An outlier's failures tell nothing of the fleet.
-  if (r.status == Status::Ok || (r.status != Status::ConnectionLimit && !m.outlier(s))) {
-    follow(m.errors, r.status == Status::Error);
-    if (r.status == Status::Ok) follow(m.late, false);
-    follow(m.full, r.status == Status::Rejected);
-    follow(m.spoilt, r.status == Status::Malformed);
-    follow(m.unreachable, r.status == Status::ConnectFailed || r.status == Status::Reset);
+  s.window->ended(m.now, a.sent_at, 1, load, static_cast<double>(latency) / m.relative_cost(o),
+                  static_cast<double>(m.settings.classes[o.class_index].latency_objective) / 2);
+  // An outlier's failures say nothing about the fleet.
+  if (r.status == Status::Ok || (r.status != Status::ConnectionLimit && !m.is_outlier(s))) {
+    update_rate(m.error_rate, r.status == Status::Error);
+    if (r.status == Status::Ok) update_rate(m.late_rate, false);
+    update_rate(m.rejected_rate, r.status == Status::Rejected);
+    update_rate(m.malformed_rate, r.status == Status::Malformed);
+    update_rate(m.unreachable_rate, r.status == Status::ConnectFailed || r.status == Status::Reset);
   }
   switch (r.status) {
     case Status::Ok:
-      m.note_success(s);
-      s.crowded *= 1 - kFullEases;
-      if (!m.is_origin(s)) m.note_latency(s, o.cls, latency, true, r.cache_result <= 1);
+      m.record_success(s);
+      s.rejection_cut *= 1 - kRejectionCutRelease;
+      if (!m.is_origin(s)) m.record_latency(s, o.class_index, latency, true, r.cache_result <= 1);
       if (!m.is_origin(s) && r.cache_result <= 1 && o.request.work)
-        m.paces.note(s.listed.kind, *o.request.work, latency);
+        m.kind_speeds.note(s.entry.kind, *o.request.work, latency);
       break;
     case Status::Miss:
-      m.note_success(s);
+      m.record_success(s);
       o.missed = true;
       break;
     case Status::Timeout:
-      m.note_latency(s, o.cls, latency, false, m.own_part(a));
+      m.record_latency(s, o.class_index, latency, false, m.server_share(a));
       break;
     case Status::Error:
-      m.note_failure(s, 0.5, m.errors);
+      m.record_failure(s, 0.5, m.error_rate);
       break;
     case Status::ConnectFailed:
-      m.doubt_list(a.server);
+      m.record_unreachable(a.server);
       [[fallthrough]];
     case Status::Reset:
-      m.note_failure(s, 1, m.unreachable);
+      m.record_failure(s, 1, m.unreachable_rate);
       break;
-    case Status::Malformed:  // it does answer: worth less than silence, and little where all do it
-      m.note_failure(s, 0.5, m.spoilt);
+    // It does answer: less evidence than silence, and little where all servers do it.
+    case Status::Malformed:
+      m.record_failure(s, 0.5, m.malformed_rate);
       break;
-    case Status::Rejected:         // overloaded or at fault, not dead
-    case Status::ConnectionLimit:  // other routers' connections fill it
+    case Status::Rejected:         // overloaded or faulty, but not down
+    case Status::ConnectionLimit:  // filled by other routers' connections
     case Status::Cancelled:
     case Status::NotSent:
       break;
   }
-  if (!o.closed && r.status == Status::Ok) m.note_end(o, true);
+  if (!o.closed && r.status == Status::Ok) m.record_key_cached(o, true);
   if (r.finished) {
-    if (!o.closed) m.cancel_rest(o);
+    if (!o.closed) m.cancel_in_flight(o);
     o.closed = true;
   } else if (r.paused) {
-    o.held_for = r.status;
+    o.paused_status = r.status;
   } else {
-    m.go_on(o, r.status);
+    m.retry_or_finish(o, r.status);
   }
-  m.forget_if_done(r.id);
-  return std::move(m.out);
+  m.erase_if_done(r.id);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_resume(Micros now, RequestId id) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(id);
-  if (it == m.open.end() || it->second.attempts.empty()) return {};
-  m.go_on(it->second, it->second.held_for);
-  m.forget_if_done(id);
-  return std::move(m.out);
+  m.begin_event(now);
+  auto it = m.open_requests.find(id);
+  if (it == m.open_requests.end() || it->second.attempts.empty()) return {};
+  m.retry_or_finish(it->second, it->second.paused_status);
+  m.erase_if_done(id);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_client_gone(Micros now, RequestId id) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto it = m.open.find(id);
-  if (it == m.open.end()) return {};
+  m.begin_event(now);
+  auto it = m.open_requests.find(id);
+  if (it == m.open_requests.end()) return {};
   if (!it->second.closed) {
-    m.cancel_rest(it->second);
-    m.end_unserved(it->second);
+    m.cancel_in_flight(it->second);
+    m.close_unserved(it->second);
   }
-  m.forget_if_done(id);
-  return std::move(m.out);
+  m.erase_if_done(id);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_timer(Micros now, std::uint64_t token) {
   Impl& m = *impl_;
-  m.tick(now);
+  m.begin_event(now);
   std::uint64_t kind = token & 3, id = token >> 2;
-  if (kind == kAskTimer) {
-    if (id != m.ask_token || m.watching) return {};
-    m.asking = true;
-    m.out.push_back(WatchList{});
-    m.ask(m.asks.beside(m.random()));  // asks again should no answer come at all
-    return std::move(m.out);
-  }
-  auto it = m.open.find(id);
-  if (it == m.open.end() || it->second.closed) return {};
-  Impl::Open& o = it->second;
+  if (kind == kPollTimer) {
+    if (id != m.poll_token || m.watching) return {};
+    m.polling = true;
+    m.actions.push_back(WatchList{});
+    m.schedule_poll(m.discovery_backoff.beside(m.random()));  // polls again if no answer arrives
+    return std::move(m.actions);
+  }
+  auto it = m.open_requests.find(id);
+  if (it == m.open_requests.end() || it->second.closed) return {};
+  Impl::OpenRequest& o = it->second;
   if (kind == kDeadlineTimer) {
     for (Impl::Attempt& a : o.attempts) {
-      if (a.ran != Impl::Ran::Out) continue;
+      if (a.run_state != Impl::RunState::InFlight) continue;
       a.overdue = true;
-      m.note_given_up(o, a);
+      m.record_abandoned(o, a);
     }
-    m.finish(o);
-  } else if (kind == kCopyTimer && !o.attempts.empty() && o.attempts.back().ran == Impl::Ran::Out &&
-             m.now - o.attempts.back().sent >= m.patience(o) / 2) {
-    m.note_stall(o.attempts.back(), 0.5);
-    if (!m.lim.pressed(m.now) && m.lim.has_room(m.now, m.lim.fetch_weight(o.ask)) &&
-        m.lim.spend_copy())
-      m.send(o);
-  }
-  m.forget_if_done(id);
-  return std::move(m.out);
+    m.refuse_or_fail(o);
+  } else if (kind == kHedgeTimer && !o.attempts.empty() &&
+             o.attempts.back().run_state == Impl::RunState::InFlight &&
+             m.now - o.attempts.back().sent_at >= m.attempt_timeout(o) / 2) {
+    m.record_stall(o.attempts.back(), 0.5);
+    if (!m.attempt_limits.pressed(m.now) &&
+        m.attempt_limits.has_room(m.now, m.attempt_limits.fetch_weight(o.admission)) &&
+        m.attempt_limits.spend_copy())
+      m.send_attempt(o);
+  }
+  m.erase_if_done(id);
+  return std::move(m.actions);
 }
 
 Actions Balancer::on_probe_result(Micros now, const std::string& server, Status status, Micros,
                                   const std::vector<double>& report) {
   Impl& m = *impl_;
-  m.tick(now);
-  auto at = m.index.find(server);
-  if (at == m.index.end()) return {};
-  if (status == Status::Ok) m.note_report(m.servers[at->second], report);
+  m.begin_event(now);
+  auto at = m.server_index.find(server);
+  if (at == m.server_index.end()) return {};
+  if (status == Status::Ok) m.record_report(m.servers[at->second], report);
   return {};
 }
 
 Balancer::Stats Balancer::stats() const {
   const Impl& m = *impl_;
   Stats s;
-  s.open_requests = m.open.size();
-  s.saved_seeds = m.saved.size();
-  s.tracked_keys = m.counts[0].size() + m.counts[1].size();
-  s.servers = m.index.size();
+  s.open_requests = m.open_requests.size();
+  s.saved_seeds = m.saved_seeds.size();
+  s.tracked_keys = m.key_counts[0].size() + m.key_counts[1].size();
+  s.servers = m.server_index.size();
   s.draws = m.draws;
-  s.shed = m.turned_away, s.unroutable = m.unsendable, s.failed_after_attempts = m.given_up;
-  s.retries = m.retries, s.hedges = m.copies, s.trials = m.trials;
-  s.uncached_shed_share = m.lim.refused(m.now, false),
-  s.cached_shed_share = m.lim.refused(m.now, true);
-  s.fetch_limit = m.lim.fetches().limit(), s.fetches_in_flight = m.lim.fetches().out();
-  s.late_rate = m.late, s.error_rate = m.errors, s.rejected_rate = m.full,
-  s.unreachable_rate = m.unreachable;
-  s.malformed_rate = m.spoilt;
-  s.utilization = m.util_mean;
-  s.live_servers = m.live_sum, s.zone_affinity = m.near_pull;
-  s.restart_verdict = static_cast<int>(m.company.verdict());
-  s.tracked_writes = m.writes.kept(), s.evicted_writes = m.writes.forgotten();
+  s.shed = m.shed, s.unroutable = m.unroutable, s.failed_after_attempts = m.failed_after_attempts;
+  s.retries = m.retries, s.hedges = m.hedges, s.trials = m.trials;
+  s.uncached_shed_share = m.attempt_limits.refused(m.now, false),
+  s.cached_shed_share = m.attempt_limits.refused(m.now, true);
+  s.fetch_limit = m.attempt_limits.fetches().limit(),
+  s.fetches_in_flight = m.attempt_limits.fetches().out();
+  s.late_rate = m.late_rate, s.error_rate = m.error_rate, s.rejected_rate = m.rejected_rate,
+  s.unreachable_rate = m.unreachable_rate;
+  s.malformed_rate = m.malformed_rate;
+  s.utilization = m.mean_utilization;
+  s.live_servers = m.live_servers, s.zone_affinity = m.zone_affinity;
+  s.restart_verdict = static_cast<int>(m.tier_restart.verdict());
+  s.tracked_writes = m.keyed_writes.kept(), s.evicted_writes = m.keyed_writes.forgotten();
   return s;
 }
 
 std::string Balancer::home_server(const std::string& key) const {
   std::uint64_t seed = hash_name(key);
   int left = kMaxDraws;
-  int i = impl_->next_live(seed, left);
-  return i < 0 ? std::string() : impl_->servers[i].listed.id;
+  int i = impl_->draw_live_server(seed, left);
+  return i < 0 ? std::string() : impl_->servers[i].entry.id;
 }
 
 double Balancer::live_fraction(const std::string& server) const {
-  auto at = impl_->index.find(server);
-  return at == impl_->index.end() ? 0 : impl_->live(impl_->servers[at->second]);
+  auto at = impl_->server_index.find(server);
+  return at == impl_->server_index.end() ? 0 : impl_->live_fraction(impl_->servers[at->second]);
 }
 
 }  // namespace robinseam
--- a/tests/checker.hpp
+++ b/tests/checker.hpp
@@ -1,5 +1,6 @@
-// An independent statement of the four rules for one router: it sees the events and the actions and
-// shares no code with the library.
+// An independent check of the four service rules for one router. It sees the events and the actions
+// and shares no code with the library. The rules: 1, one final answer, in time; 2, no repeat that
+// may run a request twice; 3, nothing new to a server that drains; 4, no overload of a cold server.
 #pragma once
 
 #include <map>
@@ -12,44 +13,46 @@
 
 class RuleChecker {
  public:
-  /// `capacity`: requests per second a warm server of weight 1 can do.
-  RuleChecker(const Settings& settings, double capacity) : set_(settings), capacity_(capacity) {}
+  /// `capacity`: requests per second of a warm server of weight 1.
+  RuleChecker(const Settings& settings, double capacity)
+      : settings_(settings), capacity_(capacity) {}
 
-  const std::vector<std::string>& breaks() const { return breaks_; }
+  const std::vector<std::string>& violations() const { return violations_; }
 
   void list(Micros now, ListScope scope, const std::vector<Server>& entries) {
     if (scope == ListScope::Failed) return;
     if (scope != ListScope::Delta)
       for (auto& [id, s] : servers_) {
-        bool named = false;
-        for (const Server& e : entries) named |= e.id == id;
-        if (!named && s.entry.health == Health::Ready) s.entry.health = Health::Gone, s.told = now;
+        bool listed = false;
+        for (const Server& e : entries) listed |= e.id == id;
+        if (!listed && s.entry.health == Health::Ready)
+          s.entry.health = Health::Gone, s.notified_at = now;
       }
     for (const Server& e : entries) {
-      Known& s = servers_[e.id];
-      if (e.health != Health::Ready && s.entry.health == Health::Ready) s.told = now;
+      ServerState& s = servers_[e.id];
+      if (e.health != Health::Ready && s.entry.health == Health::Ready) s.notified_at = now;
       s.entry = e;
     }
   }
 
   void request(Micros now, const Request& r) {
-    Owed o;
+    OpenRequest o;
     o.deadline = now + r.remaining;
-    for (const ClassSettings& c : set_.classes)
-      if (c.name == r.class_name) o.cls = c;
-    owed_[r.id] = o;
+    for (const ClassSettings& c : settings_.classes)
+      if (c.name == r.class_name) o.request_class = c;
+    requests_[r.id] = o;
   }
 
   void outcome(const Outcome& r) {
-    Owed& o = owed_[r.id];
-    Try& t = o.tries[r.attempt];
-    t.out = false;
-    t.never = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
-              r.status == Status::NotSent || r.status == Status::Miss;
+    OpenRequest& o = requests_[r.id];
+    Attempt& t = o.attempts[r.attempt];
+    t.in_flight = false;
+    t.not_run = r.status == Status::Rejected || r.status == Status::ConnectFailed ||
+                r.status == Status::NotSent || r.status == Status::Miss;
     if (r.finished) o.ended = true;
   }
 
-  void gone(RequestId id) { owed_[id].ended = true; }
+  void gone(RequestId id) { requests_[id].ended = true; }
 
   void actions(Micros now, const Actions& actions) {
     for (const Action& a : actions) {
@@ -59,88 +62,91 @@
     }
   }
 
-  /// To be called as time passes: is any final answer overdue?
-  void clock(Micros now) {
-    for (auto& [id, o] : owed_)
-      if (!o.ended && now > o.deadline + set_.answer_slack) {
-        broke("1: no final answer for", id);
+  /// Call as time passes; reports overdue final answers.
+  void advance(Micros now) {
+    for (auto& [id, o] : requests_)
+      if (!o.ended && now > o.deadline + settings_.answer_slack) {
+        add_violation("1: no final answer for", id);
         o.ended = true;
       }
   }
 
  private:
-  struct Try {
+  struct Attempt {
     std::string server;
-    Micros sent = 0;
-    bool out = true;
-    bool never = false;
+    Micros sent_at = 0;
+    bool in_flight = true;
+    bool not_run = false;
   };
-  struct Owed {
-    ClassSettings cls;
+  struct OpenRequest {
+    ClassSettings request_class;
     Micros deadline = 0;
     bool ended = false;
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
   };
-  struct Known {
+  struct ServerState {
     Server entry;
-    Micros told = 0;
+    Micros notified_at = 0;
     std::vector<Micros> cold_sends;
   };
 
-  void broke(const std::string& what, RequestId id) {
-    breaks_.push_back("rule " + what + " " + std::to_string(id));
+  void add_violation(const std::string& what, RequestId id) {
+    violations_.push_back("rule " + what + " " + std::to_string(id));
   }
 
   void final(Micros now, RequestId id, bool refusal) {
-    Owed& o = owed_[id];
-    if (o.ended) broke("1: a second final answer for", id);
-    if (now > o.deadline + set_.answer_slack) broke("1: late answer for", id);
+    OpenRequest& o = requests_[id];
+    if (o.ended) add_violation("1: a second final answer for", id);
+    if (now > o.deadline + settings_.answer_slack) add_violation("1: late answer for", id);
     o.ended = true;
-    if (!refusal || o.cls.effect == Effect::Repeatable) return;
-    for (const Try& t : o.tries)
-      if (!t.never && !(o.cls.effect == Effect::Keyed && o.cls.group == Group::All))
-        broke("2: refused though it may have run", id);
+    if (!refusal || o.request_class.effect == Effect::Repeatable) return;
+    for (const Attempt& t : o.attempts)
+      if (!t.not_run &&
+          !(o.request_class.effect == Effect::Keyed && o.request_class.group == Group::All))
+        add_violation("2: refused though it may have run", id);
   }
 
   void send(Micros now, const Send& s) {
-    Owed& o = owed_[s.id];
-    Known& to = servers_[s.server];
-    if (o.ended) broke("1: sent after the end", s.id);
-    for (const Try& t : o.tries) {
-      if (t.out && !set_.may_hedge) broke("2: two copies out", s.id);
-      if (t.never || o.cls.effect == Effect::Repeatable) continue;
+    OpenRequest& o = requests_[s.id];
+    ServerState& to = servers_[s.server];
+    if (o.ended) add_violation("1: sent after the end", s.id);
+    for (const Attempt& t : o.attempts) {
+      if (t.in_flight && !settings_.may_hedge) add_violation("2: two attempts in flight", s.id);
+      if (t.not_run || o.request_class.effect == Effect::Repeatable) continue;
       const Server& from = servers_[t.server].entry;
-      bool same = o.cls.group == Group::All ||
-                  (o.cls.group == Group::Zone && from.zone == to.entry.zone) ||
-                  (o.cls.group == Group::Cell && from.cell >= 0 && from.cell == to.entry.cell);
-      if (o.cls.effect == Effect::Once)
-        broke("2: repeated", s.id);
+      bool same =
+          o.request_class.group == Group::All ||
+          (o.request_class.group == Group::Zone && from.zone == to.entry.zone) ||
+          (o.request_class.group == Group::Cell && from.cell >= 0 && from.cell == to.entry.cell);
+      if (o.request_class.effect == Effect::Once)
+        add_violation("2: repeated", s.id);
       else if (!same)
-        broke("2: repeated outside its group", s.id);
-      else if (now > t.sent + o.cls.key_ttl)
-        broke("2: repeated past its time to live", s.id);
+        add_violation("2: repeated outside its group", s.id);
+      else if (now > t.sent_at + o.request_class.key_ttl)
+        add_violation("2: repeated past its key TTL", s.id);
     }
-    if (to.entry.health != Health::Ready && now > to.told + set_.drain_grace)
-      broke("3: sent to a leaving server", s.id);
+    if (to.entry.health != Health::Ready && now > to.notified_at + settings_.drain_grace)
+      add_violation("3: sent to a draining server", s.id);
     Micros age = now - to.entry.up_since;
-    if (to.entry.up_since > 0 && age < set_.cold_time) {
+    if (to.entry.up_since > 0 && age < settings_.cold_time) {
       to.cold_sends.push_back(now);
       double count = 0;
       for (Micros at : to.cold_sends)
-        count += at > now - set_.overload_time && at >= to.entry.up_since;
-      double part = set_.cold_share + (1 - set_.cold_share) * double(age) / double(set_.cold_time);
-      double window = double(set_.overload_time) / 1e6;
-      if (count > set_.overload_factor * part * capacity_ * window + 2)
-        broke("4: a cold server was pushed over by", s.id);
+        count += at > now - settings_.overload_time && at >= to.entry.up_since;
+      double part = settings_.cold_share +
+                    (1 - settings_.cold_share) * double(age) / double(settings_.cold_time);
+      double window = double(settings_.overload_time) / 1e6;
+      if (count > settings_.overload_factor * part * capacity_ * window + 2)
+        add_violation("4: a cold server was overloaded by", s.id);
     }
-    o.tries.push_back({s.server, now});
+    o.attempts.push_back({s.server, now});
   }
 
-  Settings set_;
+  Settings settings_;
   double capacity_;
-  std::map<std::string, Known> servers_;
-  std::map<RequestId, Owed> owed_;
-  std::vector<std::string> breaks_;
+  std::map<std::string, ServerState> servers_;
+  std::map<RequestId, OpenRequest> requests_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace robinseam::test
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -304,7 +304,7 @@
   for (std::size_t k = 0; k < sent_.size(); ++k) end(k, Status::Miss);
   EXPECT_EQ(sink.replies, 1);
   EXPECT_FALSE(sink.last.missed);
-  robinseam::Settings aside = robinseam::test::aside_settings();
+  robinseam::Settings aside = robinseam::test::cache_aside_settings();
   core_ = std::make_unique<Core>(aside, 7, *this, *this, 10, 8192);
   auto servers = fleet(3);
   servers[2].kind = "ledger";
--- a/tests/drive_test.cpp
+++ b/tests/drive_test.cpp
@@ -1,4 +1,5 @@
-// A seeded drive of legal but unkind events, watched by the independent checker.
+// Runs a Balancer on seeded random events that are valid but adverse; the independent checker
+// verifies the rules.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,13 +12,13 @@
 namespace robinseam::test {
 namespace {
 
-struct Drive {
-  Settings set = basic_settings();
-  std::vector<std::string> breaks;
+struct RandomRun {
+  Settings settings = basic_settings();
+  std::vector<std::string> violations;
   int sends = 0, answers = 0;
   std::string trace;
 
-  /// `tamper` may change actions before they are carried out, to show that the checker notices.
+  /// `tamper` may change actions before they are carried out, to show that the checker detects it.
   template <typename Tamper>
   void run(std::uint64_t seed, Tamper tamper) {
     std::mt19937_64 rng(
@@ -26,30 +27,31 @@
     auto list = fleet(9);
     const char* zones[] = {"a", "b", "c"};
     for (std::size_t k = 0; k < list.size(); ++k) list[k].zone = zones[k % 3], list[k].cell = k / 3;
-    set.zones = {"a", "b", "c"};
-    set.may_hedge = pick(2);
-    set.cross_zone_charge = 0.1 * pick(2);
-    set.report_fields = {ReportField::Utilization, ReportField::Queue};
-    set.poll_list = pick(2);
-    set.classes.resize(1);
+    settings.zones = {"a", "b", "c"};
+    settings.may_hedge = pick(2);
+    settings.cross_zone_charge = 0.1 * pick(2);
+    settings.report_fields = {ReportField::Utilization, ReportField::Queue};
+    settings.poll_list = pick(2);
+    settings.classes.resize(1);
     for (auto [name, effect, group] : {std::tuple{"keyed", Effect::Keyed, Group::All},
                                        {"zoned", Effect::Keyed, Group::Zone},
                                        {"celled", Effect::Keyed, Group::Cell},
                                        {"once", Effect::Once, Group::All}}) {
-      ClassSettings c = set.classes[0];
+      ClassSettings c = settings.classes[0];
       c.name = name, c.effect = effect, c.group = group, c.key_ttl = 200 * kMs;
-      set.classes.push_back(c);
+      settings.classes.push_back(c);
     }
 
-    Balancer b(set, seed, 1);
-    RuleChecker checker(set, 40);  // 200 requests a second over 9 servers, at 0.55 of capacity
+    Balancer b(settings, seed, 1);
+    RuleChecker checker(settings,
+                        40);  // 200 requests per second over 9 servers: 0.55 of the capacity
     struct Event {
       int kind;  // 0 outcome, 1 timer
       Outcome outcome;
       std::uint64_t token;
     };
     std::multimap<Micros, Event> due;
-    std::map<RequestId, int> tries;
+    std::map<RequestId, int> attempts;
     std::map<RequestId, bool> ended;
     Micros now = 1;
 
@@ -61,7 +63,7 @@
         if (const Send* s = std::get_if<Send>(&a)) {
           ++sends;
           trace += s->server;
-          Event e{0, ended_outcome(*s, tries[s->id]++, pick(100)), 0};
+          Event e{0, random_outcome(*s, attempts[s->id]++, pick(100)), 0};
           Micros after = pick(20) == 0 ? 400 * kMs + pick(400) * kMs : 1 + pick(60 * kMs);
           e.outcome.latency = after;
           due.emplace(now + after, e);
@@ -74,13 +76,13 @@
         }
       }
     };
-    auto tell = [&](ListScope scope, std::vector<Server> entries) {
+    auto update_list = [&](ListScope scope, std::vector<Server> entries) {
       checker.list(now, scope, entries);
       carry_out(b.on_list(now, scope, entries));
     };
 
     carry_out(b.start(now));
-    tell(ListScope::Cached, list);
+    update_list(ListScope::Cached, list);
     for (RequestId id = 1; id < 4000; ++id) {
       Micros next = now + 5 * kMs;
       while (!due.empty() && due.begin()->first <= next) {
@@ -97,16 +99,16 @@
         carry_out(b.on_outcome(now, e.outcome));
       }
       now = next;
-      checker.clock(now);
+      checker.advance(now);
       Server& s = list[pick(list.size())];
       switch (pick(900)) {
         case 0:
           s.health = Health::Draining;
-          tell(ListScope::Delta, {s});
+          update_list(ListScope::Delta, {s});
           break;
         case 1:
           s.health = Health::Gone;
-          tell(ListScope::Delta, {s});
+          update_list(ListScope::Delta, {s});
           break;
         case 2:
         case 3:
@@ -115,17 +117,17 @@
         case 9:
           s.health = Health::Ready;
           s.up_since = now;
-          tell(ListScope::Delta, {s});
+          update_list(ListScope::Delta, {s});
           break;
-        case 4: {  // a complete list without those gone
+        case 4: {  // a complete list without the gone servers
           std::vector<Server> full;
           for (const Server& k : list)
             if (k.health != Health::Gone) full.push_back(k);
-          tell(ListScope::Full, full);
+          update_list(ListScope::Full, full);
           break;
         }
         case 5:
-          tell(ListScope::Failed, {});
+          update_list(ListScope::Failed, {});
           break;
         case 6:
           if (id > 1 && !ended[id - 1]) {
@@ -138,80 +140,80 @@
           break;
       }
       Request r =
-          read_of(id, "k" + std::to_string(pick(1 + pick(300))), 50 * kMs + pick(500) * kMs);
-      r.class_name = set.classes[pick(set.classes.size())].name;
+          read_request(id, "k" + std::to_string(pick(1 + pick(300))), 50 * kMs + pick(500) * kMs);
+      r.class_name = settings.classes[pick(settings.classes.size())].name;
       checker.request(now, r);
       carry_out(b.on_request(now, r));
     }
-    breaks = checker.breaks();
+    violations = checker.violations();
   }
 
-  static Outcome ended_outcome(const Send& s, int attempt, std::uint64_t dice) {
-    Status status = dice < 84   ? Status::Ok
-                    : dice < 87 ? Status::Error
-                    : dice < 90 ? Status::Rejected
-                    : dice < 93 ? Status::Timeout
-                    : dice < 95 ? Status::ConnectFailed
-                    : dice < 98 ? Status::Reset
+  static Outcome random_outcome(const Send& s, int attempt, std::uint64_t roll) {
+    Status status = roll < 84   ? Status::Ok
+                    : roll < 87 ? Status::Error
+                    : roll < 90 ? Status::Rejected
+                    : roll < 93 ? Status::Timeout
+                    : roll < 95 ? Status::ConnectFailed
+                    : roll < 98 ? Status::Reset
                                 : Status::NotSent;
-    Outcome o = ended(s.id, s.server, status, attempt);
-    o.report = {static_cast<double>(dice) / 100, static_cast<double>(dice % 7)};
+    Outcome o = outcome_of(s.id, s.server, status, attempt);
+    o.report = {static_cast<double>(roll) / 100, static_cast<double>(roll % 7)};
     return o;
   }
 };
 
-auto untouched = [](Actions&) {};
+auto no_tampering = [](Actions&) {};
 
-TEST(RandomDrive, KeepsTheRules) {
+TEST(RandomEvents, RulesAreKept) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    Drive d;
-    d.run(seed, untouched);
-    EXPECT_TRUE(d.breaks.empty()) << "seed " << seed << ": " << d.breaks.front();
+    RandomRun d;
+    d.run(seed, no_tampering);
+    EXPECT_TRUE(d.violations.empty()) << "seed " << seed << ": " << d.violations.front();
     EXPECT_GT(d.sends, 1000);
     EXPECT_GT(d.answers, 50);
   }
 }
 
-TEST(RandomDrive, IsRepeatable) {
-  Drive a, b;
-  a.run(5, untouched);
-  b.run(5, untouched);
+TEST(RandomEvents, RunsAreRepeatable) {
+  RandomRun a, b;
+  a.run(5, no_tampering);
+  b.run(5, no_tampering);
   EXPECT_EQ(a.trace, b.trace);
 }
 
-bool noticed(const Drive& d, const std::string& rule) {
-  return std::any_of(d.breaks.begin(), d.breaks.end(),
+bool detected(const RandomRun& d, const std::string& rule) {
+  return std::any_of(d.violations.begin(), d.violations.end(),
                      [&](const std::string& b) { return b.rfind("rule " + rule, 0) == 0; });
 }
 
 TEST(RandomDrive, CheckerNoticesALostAnswer) {
-  Drive d;
+  RandomRun d;
   d.run(1, [](Actions& actions) {
     std::erase_if(actions, [](const Action& a) { return std::holds_alternative<Refuse>(a); });
   });
-  EXPECT_TRUE(noticed(d, "1"));
+  EXPECT_TRUE(detected(d, "1"));
 }
 
-TEST(RandomDrive, CheckerNoticesAFalseRefusal) {
-  Drive d;
+TEST(RandomEvents, CheckerDetectsAWrongRefusal) {
+  RandomRun d;
   d.run(1, [](Actions& actions) {
     for (Action& a : actions)
       if (const Fail* f = std::get_if<Fail>(&a)) a = Refuse{f->id, 0};
   });
-  EXPECT_TRUE(noticed(d, "2"));
+  EXPECT_TRUE(detected(d, "2"));
 }
 
-// Whether that server drains or is cold while requests go to it is up to the seed.
-TEST(RandomDrive, CheckerNoticesSendsToOneServerWhateverItsState) {
+// Whether that server is draining or cold while requests go to it depends on the seed.
+TEST(RandomEvents, CheckerDetectsSendsToDrainingAndColdServers) {
   bool drain = false, cold = false;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    Drive d;
+    RandomRun d;
     d.run(seed, [](Actions& actions) {
       for (Action& a : actions)
         if (Send* s = std::get_if<Send>(&a)) s->server = "10.0.0.1:80";
     });
-    drain = drain || noticed(d, "3");
-    cold = cold || noticed(d, "4");
+    drain = drain || detected(d, "3");
+    cold = cold || detected(d, "4");
   }
   EXPECT_TRUE(drain);
   EXPECT_TRUE(cold);
--- a/tests/limits/pace_test.cpp
+++ b/tests/limits/pace_test.cpp
@@ -81,11 +81,11 @@
     for (RequestId id = 0; id < 1500; ++id) {
       Micros now = Micros(id) * 20 * kMs;
       bool counted = id >= 500;
-      Request r = test::read_of(id, "k" + std::to_string(id));
+      Request r = test::read_request(id, "k" + std::to_string(id));
       r.work = counted ? c.work : 30 * kMs;
       std::string server = test::sent_to(b.on_request(now, r));
       at_quick += counted && quick[server];
-      Outcome o = test::ended(id, server, Status::Ok);
+      Outcome o = test::outcome_of(id, server, Status::Ok);
       o.latency = *r.work * (quick[server] ? 1 : 2);
       o.report = {c.utilization};
       b.on_outcome(now + o.latency, o);
@@ -97,20 +97,20 @@
 
 // Protects against: caches passed over for a quick origin, which no walk can land on.
 TEST(Paces, TheOriginIsNoKindToCompareWith) {
-  Balancer b(test::aside_settings(), 7, 0);
+  Balancer b(test::cache_aside_settings(), 7, 0);
   auto list = test::fleet(10);
   list.push_back(list[0]);
   list[10].id = "10.0.1.1:80", list[10].kind = "ledger";
   b.on_list(0, ListScope::Full, list);
   for (RequestId id = 0; id < 300; ++id) {
-    Request r = test::read_of(id, "k" + std::to_string(id));
+    Request r = test::read_request(id, "k" + std::to_string(id));
     r.work = 100 * kMs;
     r.write = id % 2 == 0 && id < 200;
     std::string server = test::sent_to(b.on_request(Micros(id) * 20 * kMs, r));
     if (id >= 200) {
       EXPECT_EQ(server, b.home_server(r.key)) << id;
     }
-    Outcome o = test::ended(id, server, Status::Ok);
+    Outcome o = test::outcome_of(id, server, Status::Ok);
     o.latency = r.write ? 20 * kMs : 200 * kMs;
     b.on_outcome(Micros(id) * 20 * kMs, o);
   }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -29,15 +29,15 @@
   b.on_list(1, ListScope::Delta, {list[3]});
   auto after = homes(b, 5000);
   int moved = 0;
-  std::map<std::string, int> heirs;
+  std::map<std::string, int> successors;
   for (auto& [key, server] : before) {
     if (server == after[key]) continue;
     EXPECT_EQ(server, list[3].id);
     ++moved;
-    ++heirs[after[key]];
+    ++successors[after[key]];
   }
   EXPECT_NEAR(moved, 500, 100);
-  EXPECT_EQ(heirs.size(), 9u);  // spread over all the others
+  EXPECT_EQ(successors.size(), 9u);  // spread over all the others
 }
 
 TEST(Segments, JoiningServerTakesOnlyItsShare) {
@@ -55,10 +55,10 @@
     elsewhere += after[key] != list.back().id;
   }
   EXPECT_NEAR(moved, 500, 110);
-  EXPECT_LE(elsewhere, 25);  // only where two claims met on one slot
+  EXPECT_LE(elsewhere, 25);  // only where two servers drew the same slot
 }
 
-TEST(Segments, SharesFollowWeights) {
+TEST(Segments, KeysAreSplitByWeight) {
   Balancer b(basic_settings(), 1, 0);
   auto list = fleet(8);
   list[0].weight = 3;
@@ -72,16 +72,16 @@
   EXPECT_NEAR(keys[list[5].id], unit, 0.12 * unit);
 }
 
-TEST(Segments, OrderOfTheListDoesNotMatter) {
+TEST(Segments, ListOrderDoesNotChangeTheMapping) {
   Balancer a(basic_settings(), 1, 0), b(basic_settings(), 2, 0);
   auto list = fleet(30, 1.5);
   a.on_list(0, ListScope::Full, list);
-  std::vector<Server> turned(list.rbegin(), list.rend());
-  b.on_list(0, ListScope::Full, turned);
+  std::vector<Server> reversed(list.rbegin(), list.rend());
+  b.on_list(0, ListScope::Full, reversed);
   EXPECT_EQ(homes(a, 2000), homes(b, 2000));
 }
 
-TEST(Segments, ManyHeavyServersStillFit) {
+TEST(Segments, ManyHeavyServersAllGetSlots) {
   Balancer b(basic_settings(), 1, 0);
   b.on_list(0, ListScope::Full, fleet(300, 16));
   std::set<std::string> used;
@@ -89,15 +89,15 @@
   EXPECT_EQ(used.size(), 300u);
 }
 
-TEST(Segments, OriginGetsNone) {
-  Balancer b(aside_settings(), 1, 0);
+TEST(Segments, OriginGetsNoSlots) {
+  Balancer b(cache_aside_settings(), 1, 0);
   auto list = fleet(4);
   list[2].kind = "ledger";
   b.on_list(0, ListScope::Full, list);
   for (auto& [key, server] : homes(b, 1000)) EXPECT_NE(server, list[2].id);
 }
 
-TEST(Segments, CostOfADecisionDoesNotGrowWithTheFleet) {
+TEST(Segments, DrawsPerDecisionDoNotGrowWithTheFleet) {
   auto draws = [](int servers) {
     Balancer b(basic_settings(), 1, 0);
     b.on_list(0, ListScope::Full, fleet(servers));
@@ -105,12 +105,12 @@
       serve(b, Micros(id) * 1000, id, "k" + std::to_string(id));
     return b.stats().draws / 500.0;
   };
-  EXPECT_LT(draws(200), draws(10) + 1);  // a fuller interval takes fewer draws, not more
+  EXPECT_LT(draws(200), draws(10) + 1);  // more occupied slots need fewer draws
   EXPECT_LT(draws(10), 400);
 }
 
 // ---- saved seeds ----
-TEST(SavedSeeds, RepeatsInAWindowMoveOnAndTheWindowEnds) {
+TEST(SavedSeeds, HotKeyIsSpreadAndReturnsToItsHomeServer) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(12));
   std::set<std::string> used;
@@ -121,10 +121,10 @@
     at_home += server == b.home_server("hot");
   }
   EXPECT_GE(used.size(), 8u);  // the hot key is spread
-  EXPECT_GE(at_home, 5);       // and comes back to its first server each window
+  EXPECT_GE(at_home, 5);       // and returns to its first server each time the walk restarts
 }
 
-TEST(SavedSeeds, RareKeysStayAtHome) {
+TEST(SavedSeeds, RareKeysStayAtTheirHomeServer) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(12));
   int away = 0;
@@ -135,45 +135,47 @@
   EXPECT_LT(away, 60);
 }
 
-// Protects against: a server kept hot by several middling keys, none worth spreading for itself.
-TEST(SavedSeeds, KeysOfAHotServerSpreadFurther) {
+// Guards against a server that stays hot because of several moderately popular keys, none of which
+// would be spread on its own.
+TEST(SavedSeeds, KeysOfAHotServerAreSpreadFurther) {
   Settings s = basic_settings();
   s.report_fields = {ReportField::Utilization};
   Balancer b(s, 7, 0);
   b.on_list(0, ListScope::Full, fleet(40));
   std::string home = b.home_server("k1");
   Micros now = 0;
-  auto away = [&](double load) {
+  auto count_away = [&](double load) {
     int count = 0;
     for (RequestId k = 0; k < 2000; ++k, now += 10 * kMs) {
       RequestId id = static_cast<RequestId>(now);
       std::string key = k % 50 == 0 ? "k1" : "r" + std::to_string(id);
-      std::string server = sent_to(b.on_request(now, read_of(id, key)));
+      std::string server = sent_to(b.on_request(now, read_request(id, key)));
       count += k % 50 == 0 && server != home;
-      Outcome o = ended(id, server, Status::Ok);
+      Outcome o = outcome_of(id, server, Status::Ok);
       o.report = {server == home ? load : 0.3};
       b.on_outcome(now, o);
     }
     return count;
   };
-  // 2% of the traffic: over a fair share of 2.5% times kKeyShare, so two servers.
-  int calm = away(0.3);
-  EXPECT_LE(calm, 25);
-  EXPECT_GE(away(0.99), calm + 5);
+  // 2% of the traffic: over a fair share of 2.5% times kMaxKeyShare, so two servers.
+  int normal = count_away(0.3);
+  EXPECT_LE(normal, 25);
+  EXPECT_GE(count_away(0.99), normal + 5);
 }
 
-// Protects against: what a refusal as full took away staying away for good where no load is told.
-TEST(Health, ARefusalAsFullFades) {
+// Guards against a server never recovering the keys it gave up for a rejection when it reports no
+// load.
+TEST(Health, EffectOfARejectionDecays) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(6);
   b.on_list(0, ListScope::Full, list);
   Micros now = 0;
   RequestId id = 0;
   for (; id < 200; ++id, now += 10 * kMs) {
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
-    std::string next = sent_to(
-        b.on_outcome(now, ended(id, server, server == list[0].id ? Status::Rejected : Status::Ok)));
-    if (!next.empty()) b.on_outcome(now, ended(id, next, Status::Ok, 1));
+    std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
+    std::string next = sent_to(b.on_outcome(
+        now, outcome_of(id, server, server == list[0].id ? Status::Rejected : Status::Ok)));
+    if (!next.empty()) b.on_outcome(now, outcome_of(id, next, Status::Ok, 1));
   }
   double part = b.live_fraction(list[0].id);
   EXPECT_LT(part, 0.8);
@@ -182,9 +184,9 @@
   EXPECT_GT(b.live_fraction(list[0].id), 0.9);
 }
 
-// Protects against: second and third copies of keys that came twice by chance, whose fetches jammed
-// the origin.
-TEST(SavedSeeds, AChancePairStaysAtHome) {
+// Guards against second and third replicas of keys that were requested twice by chance: their
+// fetches overloaded the origin.
+TEST(SavedSeeds, TwoRequestsForAKeyStayAtItsHomeServer) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(12));
   for (RequestId id = 0; id < 2000; ++id) {
@@ -193,9 +195,9 @@
   }
 }
 
-// Protects against: six in ten attempts to other zones at a hundred routers, each of which sees
-// nearly all of its keys once. A dozen routers fetch a key seen once from its home, as ever.
-TEST(Nearness, AKeySeenOnceIsKeptNearWhereManyRoutersShareIt) {
+// Guards against six in ten attempts going to other zones with a hundred routers, each of which
+// sees nearly all of its keys once. With a dozen routers, a key seen once goes to its home server.
+TEST(ZoneAffinity, KeySeenOnceStaysInTheZoneWhenManyRoutersShareTheTraffic) {
   for (auto [routers, least, most] :
        {std::tuple{1, 0.55, 0.75}, {14, 0.55, 0.75}, {100, 0.0, 0.2}}) {
     Settings s = basic_settings();
@@ -216,11 +218,11 @@
   }
 }
 
-// Protects against: the pull to the own zone let go where the whole fleet gives up a part of its
-// keys, which sent half of all requests to other zones that were no better off.
-TEST(Nearness, ThePullGoesByWhatTheOwnZoneShedsBeyondTheFleet) {
+// Guards against losing the zone affinity when the whole fleet gives up a part of its keys: half of
+// all requests then went to other zones that were in no better state.
+TEST(ZoneAffinity, DependsOnWhatTheOwnZoneGivesUpBeyondTheFleet) {
   struct Case {
-    const char* cold;  // zones whose servers have just started, and so are live in part
+    const char* cold;  // zones whose servers have just started, so their live fraction is below 1
     double least, most;
   };
   for (const Case& c :
@@ -256,7 +258,7 @@
 }
 
 // ---- the list ----
-TEST(List, ServersThatHaveGoneAreForgottenAlsoUnderChangesAlone) {
+TEST(List, GoneServersAreErasedWithDeltasAlone) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(8);
   b.on_list(0, ListScope::Full, list);
@@ -273,11 +275,11 @@
   }
 }
 
-TEST(List, AServerThatWasGoneWhileARequestWasOutThereIsKeptUntilItsEnd) {
+TEST(List, GoneServerIsKeptUntilItsAttemptEnds) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(1);
   b.on_list(0, ListScope::Full, list);
-  ASSERT_FALSE(b.on_request(0, read_of(1, "k")).empty());
+  ASSERT_FALSE(b.on_request(0, read_request(1, "k")).empty());
   Server gone = list[0], other = list[0];
   gone.health = Health::Gone;
   other.id = "other";
@@ -294,7 +296,7 @@
 }
 
 // ---- server health ----
-TEST(Health, FewFailedConnectionsTakeAServerOutAndItComesBack) {
+TEST(Health, FailedConnectionsTakeAServerDownAndItReturns) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(6);
   b.on_list(0, ListScope::Full, list);
@@ -303,27 +305,27 @@
   int failed = 0;
   std::string bad = list[2].id;
   for (; id < 300; ++id, now += 10 * kMs) {
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+    std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
     if (server != bad) {
-      b.on_outcome(now, ended(id, server, Status::Ok));
+      b.on_outcome(now, outcome_of(id, server, Status::Ok));
       continue;
     }
     ++failed;
-    std::string next = sent_to(b.on_outcome(now, ended(id, server, Status::ConnectFailed)));
+    std::string next = sent_to(b.on_outcome(now, outcome_of(id, server, Status::ConnectFailed)));
     ASSERT_NE(next, "");
     EXPECT_NE(next, bad);
-    b.on_outcome(now, ended(id, next, Status::Ok, 1));
+    b.on_outcome(now, outcome_of(id, next, Status::Ok, 1));
   }
   EXPECT_LE(failed, 8);
   EXPECT_GE(failed, 2);
-  // It answers again: back to its whole share within seconds.
+  // It answers again and is fully live within seconds.
   for (; id < 4000; ++id, now += 10 * kMs) serve(b, now, id, "k" + std::to_string(id));
   EXPECT_EQ(b.live_fraction(bad), 1);
 }
 
-// Protects against: errors of an overloaded origin taking one healthy server after another out,
-// whose keys then miss elsewhere and ask the origin more.
-TEST(Health, ErrorsEverywhereCondemnNobody) {
+// Guards against errors of an overloaded origin taking down one healthy server after another: their
+// keys then miss elsewhere and add load on the origin.
+TEST(Health, ErrorsAtEveryServerTakeNoneDown) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(6);
   b.on_list(0, ListScope::Full, list);
@@ -335,38 +337,38 @@
   EXPECT_GE(live, 5);
 }
 
-TEST(Health, NoCollapseWhenNearlyEveryServerLooksDead) {
+TEST(Health, RequestsAreServedAfterNearlyEveryServerLookedDown) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
   Micros now = 0;
   RequestId id = 0;
   for (; id < 200; ++id, now += 10 * kMs)
-    exhaust(b, now, id, "k" + std::to_string(id), Status::ConnectFailed);
-  // They answer again: within eight seconds nearly everything is served.
+    end_all_attempts(b, now, id, "k" + std::to_string(id), Status::ConnectFailed);
+  // They answer again: within eight seconds nearly all requests are served.
   int served = 0;
   for (RequestId end = id + 1000; id < end; ++id, now += 10 * kMs)
     served += !serve(b, now, id, "k" + std::to_string(id)).empty() && id >= end - 200;
   EXPECT_GE(served, 190);
 }
 
-TEST(Health, SlowServerGivesUpPartOfItsKeys) {
+TEST(Health, SlowServerLosesPartOfItsKeys) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(6);
   b.on_list(0, ListScope::Full, list);
   Micros now = 0;
   for (RequestId id = 0; id < 1500; ++id, now += 10 * kMs) {
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+    std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
     ASSERT_NE(server, "");
-    b.on_outcome(now,
-                 ended(id, server, Status::Ok, 0, server == list[1].id ? 120 * kMs : 20 * kMs));
+    b.on_outcome(
+        now, outcome_of(id, server, Status::Ok, 0, server == list[1].id ? 120 * kMs : 20 * kMs));
   }
   EXPECT_LT(b.live_fraction(list[1].id), 0.7);
   EXPECT_GT(b.live_fraction(list[1].id), 0.0);
   EXPECT_GT(b.live_fraction(list[2].id), 0.9);
 }
 
-// Protects against: warm servers that shed load pushing it on to a cold one, which then fell over.
-TEST(Health, ColdServerIsHeldToItsShare) {
+// Guards against warm servers that shed load overloading a cold one until it fails.
+TEST(Health, ColdServerIsLimitedToItsShare) {
   Settings s = basic_settings();
   s.report_fields = {ReportField::Utilization};
   Balancer b(s, 7, 0);
@@ -375,10 +377,10 @@
   Micros now = 0;
   RequestId id = 0;
   auto step = [&](int& cold_sends) {
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+    std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
     if (server.empty()) return;
     cold_sends += server == list[0].id;
-    Outcome o = ended(id, server, Status::Ok);
+    Outcome o = outcome_of(id, server, Status::Ok);
     o.report = {0.99};  // every warm server is hot
     if (server == list[0].id) o.report = {0.1};
     b.on_outcome(now, o);
@@ -394,69 +396,71 @@
   EXPECT_GE(cold_sends, 1);
 }
 
-// Protects against: servers held for dead because answers are spoilt now and then, from all alike.
-TEST(Health, SpoiltAnswersNowAndThenTakeNoServerOutButOneThatGivesNoOthersGoes) {
+// Guards against servers judged down because all of them send a malformed answer now and then.
+TEST(Health, OnlyAServerWithNothingButMalformedAnswersIsTakenDown) {
   for (bool always : {false, true}) {
     Balancer b(basic_settings(), 7, 0);
     auto list = fleet(6);
     b.on_list(0, ListScope::Full, list);
     std::string bad = list[2].id;
-    int seen = 0, late_at_bad = 0, out = 0;
+    int seen = 0, second_half_at_bad = 0, down = 0;
     for (RequestId id = 0; id < 600; ++id) {
       Micros now = Micros(id) * 10 * kMs;
-      std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+      std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
       if (server.empty()) continue;
       seen += server == bad;
-      late_at_bad += server == bad && id >= 300;
-      // Two in a row of each eight: a pair of resets would have taken it out.
-      bool spoilt = server == bad && (always || seen % 8 < 2);
-      std::string other =
-          sent_to(b.on_outcome(now, ended(id, server, spoilt ? Status::Malformed : Status::Ok)));
-      if (!other.empty()) b.on_outcome(now, ended(id, other, Status::Ok, 1));
-      out += b.live_fraction(bad) < 0.1;
+      second_half_at_bad += server == bad && id >= 300;
+      // Two in a row of every eight: two resets in a row would have taken it down.
+      bool malformed = server == bad && (always || seen % 8 < 2);
+      std::string other = sent_to(
+          b.on_outcome(now, outcome_of(id, server, malformed ? Status::Malformed : Status::Ok)));
+      if (!other.empty()) b.on_outcome(now, outcome_of(id, other, Status::Ok, 1));
+      down += b.live_fraction(bad) < 0.1;
     }
     if (always) {
-      EXPECT_GT(out, 300);
-      EXPECT_LT(late_at_bad, 10);
+      EXPECT_GT(down, 300);
+      EXPECT_LT(second_half_at_bad, 10);
     } else {
-      EXPECT_EQ(out, 0);
-      EXPECT_GT(late_at_bad, 30);
+      EXPECT_EQ(down, 0);
+      EXPECT_GT(second_half_at_bad, 30);
     }
   }
 }
 
 // ---- admission ----
-/// Attempts that end some time after they were sent, each in its turn. Every request that comes is
-/// answered for as `end` says, further attempts too.
-class Delayed {
+/// Ends each attempt some time after it was sent, in order of time. `end` gives the status and the
+/// latency of every attempt for a key, including further attempts.
+class DelayedServers {
  public:
   using End = std::function<std::pair<Status, Micros>(const std::string& key)>;
-  Delayed(Balancer& b, End end) : b_(b), end_(std::move(end)) {}
-  /// False where it was turned away at the door.
-  bool ask(Micros now, RequestId id, const std::string& key) {
+  DelayedServers(Balancer& b, End end) : b_(b), end_(std::move(end)) {}
+  /// False when the request was shed at admission.
+  bool request(Micros now, RequestId id, const std::string& key) {
     run(now);
-    Actions a = b_.on_request(now, read_of(id, key, 600 * kMs));
+    Actions a = b_.on_request(now, read_request(id, key, 600 * kMs));
     if (sent_to(a).empty()) return false;
-    note(now, id, key, 0, a);
+    schedule_end(now, id, key, 0, a);
     return true;
   }
-  int further = 0;  // attempts beyond the first ones
+  int further_attempts = 0;
 
  private:
-  void note(Micros now, RequestId id, const std::string& key, int attempt, const Actions& a) {
+  void schedule_end(Micros now, RequestId id, const std::string& key, int attempt,
+                    const Actions& a) {
     std::string server = sent_to(a);
     if (server.empty()) return;
-    further += attempt > 0;
+    further_attempts += attempt > 0;
     auto [status, after] = end_(key);
-    Outcome o = ended(id, server, status, attempt, after);
-    o.cache_result = status != Status::Ok ? 0 : key[0] == 'h' ? 1 : 2;  // 'h': held
+    Outcome o = outcome_of(id, server, status, attempt, after);
+    o.cache_result = status != Status::Ok ? 0 : key[0] == 'h' ? 1 : 2;  // 'h': cached keys
     due_.emplace(now + after, std::make_pair(o, key));
   }
   void run(Micros now) {
     while (!due_.empty() && due_.begin()->first <= now) {
       auto [when, end] = *due_.begin();
       due_.erase(due_.begin());
-      note(when, end.first.id, end.second, end.first.attempt + 1, b_.on_outcome(when, end.first));
+      schedule_end(when, end.first.id, end.second, end.first.attempt + 1,
+                   b_.on_outcome(when, end.first));
     }
   }
   Balancer& b_;
@@ -466,17 +470,18 @@
 
 std::string server_id(int k) { return "10.0.0." + std::to_string(k) + ":80"; }
 
-/// Six servers, 100 requests a second, each key asked for four times; the first `bad` servers end
-/// four of five attempts with `status`. The part refused at the door in the second half of 10 s.
-double refused_part(Balancer& b, Micros& now, RequestId& id, int bad, Status status) {
+/// Six servers, 100 requests per second, each key requested four times; the first `bad` servers end
+/// four of five attempts with `status`. Returns the share shed in the second half of 10 s.
+double shed_share(Balancer& b, Micros& now, RequestId& id, int bad, Status status) {
   std::map<std::string, int> asked;
   double refused = 0;
   for (int k = 0; k < 1000; ++k, ++id, now += 10 * kMs) {
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id % 250))));
+    std::string server =
+        sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id % 250))));
     refused += server.empty() && k >= 500;
     for (int attempt = 0; !server.empty(); ++attempt) {
       bool fails = server < "10.0.0." + std::to_string(bad) && ++asked[server] % 5 > 0;
-      Outcome end = ended(id, server, fails ? status : Status::Ok, attempt);
+      Outcome end = outcome_of(id, server, fails ? status : Status::Ok, attempt);
       end.report = {0.3};
       server = sent_to(b.on_outcome(now, end));
     }
@@ -484,9 +489,10 @@
   return refused / 500;
 }
 
-// Protects against: servers that fail most requests and serve the rest, in whatever form. A success
-// cleared all doubt of them, and their failures shut the doors over servers with time to spare.
-TEST(Health, ServersThatFailMoreThanOthersGiveUpTheirKeysShutNoDoorAndComeBack) {
+// Guards against servers that fail most requests, in whatever form, and serve the rest: each
+// success cleared their suspicion, and their failures made the router shed requests while the other
+// servers had spare capacity.
+TEST(Health, OutliersLoseTheirKeysCauseNoSheddingAndReturn) {
   for (Status status : {Status::Rejected, Status::Error, Status::Timeout, Status::Reset}) {
     Settings s = basic_settings();
     s.report_fields = {ReportField::Utilization};
@@ -494,21 +500,19 @@
     b.on_list(0, ListScope::Full, fleet(6));
     Micros now = 0;
     RequestId id = 0;
-    EXPECT_LT(refused_part(b, now, id, 3, status), 0.02) << int(status);
-    double kept = 0;
-    for (int k = 0; k < 3; ++k) kept += b.live_fraction(server_id(k));
-    EXPECT_LT(kept / 3, 0.5) << int(status);
+    EXPECT_LT(shed_share(b, now, id, 3, status), 0.02) << int(status);
+    double live = 0;
+    for (int k = 0; k < 3; ++k) live += b.live_fraction(server_id(k));
+    EXPECT_LT(live / 3, 0.5) << int(status);
     for (int k = 3; k < 6; ++k) EXPECT_GT(b.live_fraction(server_id(k)), 0.9) << int(status);
-    for (int k = 0; k < 2; ++k) refused_part(b, now, id, 0, status);  // past the longest dead spell
+    for (int k = 0; k < 2; ++k) shed_share(b, now, id, 0, status);  // longer than kMaxDownTime
     for (int k = 0; k < 6; ++k) EXPECT_GT(b.live_fraction(server_id(k)), 0.9) << int(status);
   }
 }
 
-// Protects against: a busy server that turns away one in twenty giving up nearly all its keys, as
-// each refusal counted for 15 s and the many it served for nothing.
-// Protects against: keys that leave a sound server, and retries that are denied, because other
-// routers' idle connections fill its table.
-TEST(Health, AServerWithoutRoomForAConnectionIsNotHeldToBeAtFault) {
+// Guards against keys leaving a healthy server, and retries being denied, because idle connections
+// of other routers use up its connection limit.
+TEST(Health, ServerAtItsConnectionLimitIsNotFaulty) {
   for (Status status : {Status::ConnectionLimit, Status::Rejected, Status::ConnectFailed}) {
     Balancer b(basic_settings(), 1, 0);
     auto list = fleet(6);
@@ -517,22 +521,24 @@
     int served = 0, asked = 0;
     for (Micros now = 0; now < 5 * kS; now += 20 * kMs) {
       ++id, ++asked;
-      std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+      std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
       for (int attempt = 0; !server.empty(); ++attempt) {
-        // Half of what comes to the first server finds no room, on its cores that are half idle.
+        // Half of the attempts at the first server fail while its cores are half idle.
         bool fails = server == list[0].id && id % 2 == 0;
-        Outcome o = ended(id, server, fails ? status : Status::Ok, attempt);
+        Outcome o = outcome_of(id, server, fails ? status : Status::Ok, attempt);
         served += !fails;
         server = sent_to(b.on_outcome(now, o));
       }
     }
-    bool no_room = status == Status::ConnectionLimit;
-    EXPECT_EQ(b.live_fraction(list[0].id) >= 0.99, no_room) << static_cast<int>(status);
-    EXPECT_GE(served, asked - (no_room ? 0 : asked / 4)) << static_cast<int>(status);
+    bool connection_limit = status == Status::ConnectionLimit;
+    EXPECT_EQ(b.live_fraction(list[0].id) >= 0.99, connection_limit) << static_cast<int>(status);
+    EXPECT_GE(served, asked - (connection_limit ? 0 : asked / 4)) << static_cast<int>(status);
   }
 }
 
-TEST(Health, WhatAFullServerGivesUpFollowsTheShareItTurnsAway) {
+// Guards against a busy server that rejects one in twenty requests losing nearly all its keys: each
+// rejection counted for 15 s and its many successes did not count.
+TEST(Health, KeysLostByABusyServerDependOnItsShareOfRejections) {
   Settings s = basic_settings();
   s.report_fields = {ReportField::Utilization};
   Balancer b(s, 7, 0);
@@ -540,10 +546,11 @@
   std::map<std::string, int> asked;
   for (RequestId id = 0; id < 2000; ++id) {
     Micros now = Micros(id) * 10 * kMs;
-    std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id % 250))));
+    std::string server =
+        sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id % 250))));
     for (int attempt = 0; !server.empty(); ++attempt) {
       bool full = ++asked[server] % 20 == 0;
-      Outcome end = ended(id, server, full ? Status::Rejected : Status::Ok, attempt);
+      Outcome end = outcome_of(id, server, full ? Status::Rejected : Status::Ok, attempt);
       end.report = {0.8};
       server = sent_to(b.on_outcome(now, end));
     }
@@ -551,66 +558,70 @@
   for (int k = 0; k < 6; ++k) EXPECT_GT(b.live_fraction(server_id(k)), 0.6);
 }
 
-// Protects against: parts given up where all servers fail alike, which moves keys for nothing.
-TEST(Health, WhereAllFailAlikeNoneIsAnOutlier) {
+// Guards against live fractions being cut when all servers fail alike, which moves keys for
+// nothing.
+TEST(Health, NoServerIsAnOutlierWhenAllFailAlike) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
   Micros now = 0;
   RequestId id = 0;
-  refused_part(b, now, id, 6, Status::Error);
+  shed_share(b, now, id, 6, Status::Error);
   for (int k = 0; k < 6; ++k) EXPECT_GT(b.live_fraction(server_id(k)), 0.7);
 }
 
-// Protects against: refusals that name no time, or all the same, whose clients come back together.
-TEST(Admission, RefusalsNameWhenToComeSpreadOut) {
+// Guards against refusals without a retry time, or all with the same one, whose clients then retry
+// all at once.
+TEST(Admission, RetryTimesOfRefusalsAreSpread) {
   Settings s = basic_settings();
   s.max_retry_after = kS;
   Balancer b(s, 7, 0);
-  EXPECT_LE(all<Refuse>(b.on_request(0, read_of(1, "k"))).at(0).retry_after,
-            50 * kMs);  // nothing shut
+  EXPECT_LE(all<Refuse>(b.on_request(0, read_request(1, "k"))).at(0).retry_after,
+            50 * kMs);  // nothing is shed yet
   b.on_list(0, ListScope::Full, fleet(6));
   std::set<Micros> waits;
   for (RequestId id = 2; id < 1200; ++id)  // never answered
-    if (auto no = all<Refuse>(b.on_request(Micros(id) * kMs, read_of(id, std::to_string(id))));
-        !no.empty() && id > 600)
-      waits.insert(no[0].retry_after);
+    if (auto refusals =
+            all<Refuse>(b.on_request(Micros(id) * kMs, read_request(id, std::to_string(id))));
+        !refusals.empty() && id > 600)
+      waits.insert(refusals[0].retry_after);
   ASSERT_GT(waits.size(), 200u);
   EXPECT_GT(*waits.begin(), 100 * kMs);
   EXPECT_GT(*waits.rbegin(), *waits.begin() * 3 / 2);
   EXPECT_LE(*waits.rbegin(), kS);
 }
 
-// Protects against: hits refused along with misses while only the origin is jammed, and further
-// attempts for what jams it.
-TEST(Admission, KeysAnsweredLatelyPassWhileFetchesFail) {
+// Guards against shedding hits along with misses when only the origin is overloaded, and against
+// retries of the fetches that overload it.
+TEST(Admission, CachedKeysAreAdmittedWhileFetchesFail) {
   Settings settings = basic_settings();
-  settings.routers = 8;  // of whom each may always have one fetch out
+  settings.routers = 8;  // each may always have one fetch in flight
   Balancer b(settings, 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
-  Delayed fleet(b, [](const std::string& key) {
+  DelayedServers servers(b, [](const std::string& key) {
     return key[0] == 'h' ? std::pair(Status::Ok, 5 * kMs) : std::pair(Status::Timeout, 500 * kMs);
   });
   Micros now = 0;
-  int held_in = 0, other_in = 0;
+  int cached_admitted = 0, uncached_admitted = 0;
   for (RequestId id = 0; id < 3200; ++id, now += 5 * kMs) {
-    bool held = id % 2 == 0;
-    bool in = fleet.ask(now, id, (held ? "h" + std::to_string(id % 40) : std::to_string(id)));
+    bool cached = id % 2 == 0;
+    bool admitted =
+        servers.request(now, id, (cached ? "h" + std::to_string(id % 40) : std::to_string(id)));
     if (id < 1600) continue;
-    (held ? held_in : other_in) += in;
-    if (id == 1600) fleet.further = 0;
+    (cached ? cached_admitted : uncached_admitted) += admitted;
+    if (id == 1600) servers.further_attempts = 0;
   }
-  EXPECT_EQ(held_in, 800);
-  EXPECT_LE(other_in, 60);
-  EXPECT_GE(other_in, 8);  // some are let in to learn when the origin is back
-  EXPECT_LE(fleet.further, 4);
+  EXPECT_EQ(cached_admitted, 800);
+  EXPECT_LE(uncached_admitted, 60);
+  EXPECT_GE(uncached_admitted, 8);  // some are admitted to find out when the origin recovers
+  EXPECT_LE(servers.further_attempts, 4);
 }
 
-// Protects against: spoilt answers taken for overload, whose retries stopped with the first
-// refusal.
-TEST(Admission, BrokenConnectionsShutNoDoor) {
+// Guards against malformed answers and broken connections counting as overload: their retries
+// stopped with the first request that was shed.
+TEST(Admission, BrokenConnectionsCauseNoShedding) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
-  int unsent = 0, again = 0;
+  int unsent = 0, retried = 0;
   for (RequestId id = 0; id < 1600; ++id) {
     Micros now = Micros(id) * 10 * kMs;
     std::string key = "k" + std::to_string(id);
@@ -618,45 +629,45 @@
       unsent += serve(b, now, id, key).empty();
       continue;
     }
-    std::string server = sent_to(b.on_request(now, read_of(id, key)));
+    std::string server = sent_to(b.on_request(now, read_request(id, key)));
     unsent += server.empty();
-    std::string other = sent_to(b.on_outcome(now, ended(id, server, Status::Reset)));
+    std::string other = sent_to(b.on_outcome(now, outcome_of(id, server, Status::Reset)));
     if (other.empty()) continue;
-    ++again;
-    b.on_outcome(now, ended(id, other, Status::Ok, 1));
+    ++retried;
+    b.on_outcome(now, outcome_of(id, other, Status::Ok, 1));
   }
   EXPECT_EQ(unsent, 0);
-  EXPECT_GE(again, 100);  // 3 tokens for 100 requests pay for about 7 of them
+  EXPECT_GE(retried, 100);  // 3 tokens per 100 requests pay for about 7 of them
 }
 
-// Protects against: a door held shut by slow fetches while the servers stand idle: where a third
-// takes 200 ms whatever is out, less out is no help.
-TEST(Admission, FetchesThatAreSlowByThemselvesShutNoDoor) {
+// Guards against slow fetches causing shedding while the servers are idle: when a third of them
+// takes 200 ms at any load, fewer fetches in flight do not help.
+TEST(Admission, FetchesThatAreSlowAtAnyLoadCauseNoShedding) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
-  Delayed fleet(b, [](const std::string& key) {
+  DelayedServers servers(b, [](const std::string& key) {
     return std::pair(Status::Ok, (key.back() % 3 ? 20 : 200) * kMs);
   });
   int refused = 0;
   for (RequestId id = 0; id < 4000; ++id)
-    refused += !fleet.ask(Micros(id) * 20 * kMs, id, "k" + std::to_string(id));
+    refused += !servers.request(Micros(id) * 20 * kMs, id, "k" + std::to_string(id));
   EXPECT_LE(refused, 40);
 }
 
 // ---- attempts ----
-TEST(Attempts, EmptyListRefusesAtOnce) {
+TEST(Attempts, RequestIsRefusedAtOnceWithoutServers) {
   Balancer b(basic_settings(), 7, 0);
-  Actions a = b.on_request(0, read_of(1, "k"));
+  Actions a = b.on_request(0, read_request(1, "k"));
   EXPECT_EQ(all<Refuse>(a).size(), 1u);
   EXPECT_TRUE(all<Send>(a).empty());
 }
 
-TEST(Attempts, DeadlineTimerAnswersBeforeTheClientQuits) {
+TEST(Attempts, DeadlineTimerAnswersBeforeTheClientGivesUp) {
   Settings s = basic_settings();
   s.classes[0].late_worth = 0.3;
   Balancer b(s, 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
-  Actions a = b.on_request(0, read_of(1, "k", 100 * kMs));
+  Actions a = b.on_request(0, read_request(1, "k", 100 * kMs));
   Micros last = 0;
   std::uint64_t token = 0;
   for (const Timer& t : all<Timer>(a))
@@ -677,19 +688,19 @@
   return s;
 }
 
-TEST(Attempts, OnceIsNotRepeatedOnceItMayHaveRun) {
+TEST(Attempts, OnceRequestIsNotRepeatedWhenItMayHaveRun) {
   Balancer b(with_effect(Effect::Once, Group::All), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
-  std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  Actions a = b.on_outcome(1000, ended(1, server, Status::Reset));
+  std::string server = sent_to(b.on_request(0, read_request(1, "k")));
+  Actions a = b.on_outcome(1000, outcome_of(1, server, Status::Reset));
   EXPECT_TRUE(all<Send>(a).empty());
   EXPECT_TRUE(all<Refuse>(a).empty());
   EXPECT_EQ(all<Fail>(a).size(), 1u);
 }
 
-// Protects against: every failed fetch asked for once more at another server, which kept an origin
-// jammed that would have recovered.
-TEST(Attempts, ErrorsAreRetriedWhileRareOrWhereOneServerStandsOut) {
+// Guards against every failed fetch being retried at another server, which kept an origin
+// overloaded that would have recovered.
+TEST(Attempts, ErrorsAreRetriedWhileRareOrFromOneFaultyServer) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(6);
   b.on_list(0, ListScope::Full, list);
@@ -699,20 +710,20 @@
   auto run = [&](auto fails) {
     retried = errors = 0;
     for (int k = 0; k < 400; ++k, ++id, now += 10 * kMs) {
-      std::string server = sent_to(b.on_request(now, read_of(id, "k" + std::to_string(id))));
+      std::string server = sent_to(b.on_request(now, read_request(id, "k" + std::to_string(id))));
       if (server.empty()) continue;
       bool error = fails(server, k);
       errors += error;
-      Actions a = b.on_outcome(now, ended(id, server, error ? Status::Error : Status::Ok));
+      Actions a = b.on_outcome(now, outcome_of(id, server, error ? Status::Error : Status::Ok));
       if (std::string next = sent_to(a); !next.empty())
-        ++retried, b.on_outcome(now, ended(id, next, Status::Ok, 1));
+        ++retried, b.on_outcome(now, outcome_of(id, next, Status::Ok, 1));
     }
   };
   run([&](const std::string&, int k) { return k == 2; });
-  EXPECT_EQ(retried, 1);  // a router that has seen three attempts knows nothing of the fleet
+  EXPECT_EQ(retried, 1);  // three attempts say nothing about the fleet
   run([&](const std::string&, int k) { return k % 12 == 0; });
   EXPECT_GE(errors, 30);
-  EXPECT_LE(retried, 20);  // the budget's part
+  EXPECT_LE(retried, 20);  // what the retry budget allows
   run([&](const std::string&, int k) { return k % 2 == 0; });
   EXPECT_LE(retried, 4);
   run([&](const std::string&, int) { return false; });
@@ -720,16 +731,16 @@
   EXPECT_GE(retried, 2);
 }
 
-TEST(Attempts, OnceGoesOnAfterAProvenNonRun) {
+TEST(Attempts, OnceRequestIsRetriedWhenItDidNotRun) {
   Balancer b(with_effect(Effect::Once, Group::All), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
-  std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  std::string next = sent_to(b.on_outcome(1000, ended(1, server, Status::Rejected)));
+  std::string server = sent_to(b.on_request(0, read_request(1, "k")));
+  std::string next = sent_to(b.on_outcome(1000, outcome_of(1, server, Status::Rejected)));
   EXPECT_NE(next, "");
   EXPECT_NE(next, server);
 }
 
-TEST(Attempts, KeyedByZoneStaysInTheZone) {
+TEST(Attempts, RequestKeyedByZoneIsRetriedInTheSameZone) {
   auto list = fleet(6);
   for (int k = 3; k < 6; ++k) list[k].zone = "b";
   std::map<std::string, std::string> zone_of;
@@ -737,77 +748,77 @@
   for (RequestId id = 1; id < 40; ++id) {
     Balancer b(with_effect(Effect::Keyed, Group::Zone), id, 0);
     b.on_list(0, ListScope::Full, list);
-    std::string server = sent_to(b.on_request(0, read_of(id, "k" + std::to_string(id))));
-    Actions a = b.on_outcome(1000, ended(id, server, Status::Reset));
+    std::string server = sent_to(b.on_request(0, read_request(id, "k" + std::to_string(id))));
+    Actions a = b.on_outcome(1000, outcome_of(id, server, Status::Reset));
     ASSERT_EQ(all<Send>(a).size(), 1u);
     EXPECT_EQ(zone_of[sent_to(a)], zone_of[server]);
-    a = b.on_timer(480 * kMs, id << 2);  // nothing may be refused: it may have run
+    a = b.on_timer(480 * kMs, id << 2);  // a refusal is not allowed: it may have run
     EXPECT_TRUE(all<Refuse>(a).empty());
   }
 }
 
-TEST(Attempts, KeyedByCellWithoutCellsIsNotRepeated) {
+TEST(Attempts, RequestKeyedByCellIsNotRepeatedWithoutCells) {
   Balancer b(with_effect(Effect::Keyed, Group::Cell), 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
-  std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  Actions a = b.on_outcome(1000, ended(1, server, Status::Reset));
+  std::string server = sent_to(b.on_request(0, read_request(1, "k")));
+  Actions a = b.on_outcome(1000, outcome_of(1, server, Status::Reset));
   EXPECT_TRUE(all<Send>(a).empty());
   EXPECT_EQ(all<Fail>(a).size(), 1u);
 }
 
-TEST(Attempts, KeyedIsNotRepeatedPastItsTimeToLive) {
+TEST(Attempts, KeyedRequestIsNotRepeatedPastItsKeyTtl) {
   Settings s = with_effect(Effect::Keyed, Group::All);
   s.classes[0].key_ttl = 100 * kMs;
   Balancer b(s, 7, 0);
   b.on_list(0, ListScope::Full, fleet(6));
-  std::string server = sent_to(b.on_request(0, read_of(1, "k", 900 * kMs)));
-  Actions a = b.on_outcome(200 * kMs, ended(1, server, Status::Timeout));
+  std::string server = sent_to(b.on_request(0, read_request(1, "k", 900 * kMs)));
+  Actions a = b.on_outcome(200 * kMs, outcome_of(1, server, Status::Timeout));
   EXPECT_TRUE(all<Send>(a).empty());
   EXPECT_EQ(all<Refuse>(a).size(), 1u);
 }
 
-TEST(Attempts, RetriesStayUnderABudget) {
+TEST(Attempts, RetriesStayWithinTheBudget) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(10));
-  int first = 0, more = 0;
+  int first = 0, further = 0;
   Micros now = 0;
   for (RequestId id = 0; id < 1000; ++id, now += 5 * kMs) {
-    int attempts = exhaust(b, now, id, "k" + std::to_string(id), Status::Timeout);
+    int attempts = end_all_attempts(b, now, id, "k" + std::to_string(id), Status::Timeout);
     first += attempts > 0;
-    more += std::max(0, attempts - 1);
+    further += std::max(0, attempts - 1);
   }
   EXPECT_GT(first, 50);
-  EXPECT_LE(more, 120);
+  EXPECT_LE(further, 120);
 }
 
-TEST(Attempts, StrangeCallsAreIgnored) {
+TEST(Attempts, CallsWithUnknownIdsAreIgnored) {
   Balancer b(basic_settings(), 7, 0);
   b.on_list(0, ListScope::Full, fleet(3));
-  EXPECT_TRUE(b.on_outcome(0, ended(9, "10.0.0.1:80", Status::Ok)).empty());
+  EXPECT_TRUE(b.on_outcome(0, outcome_of(9, "10.0.0.1:80", Status::Ok)).empty());
   EXPECT_TRUE(b.on_client_gone(0, 9).empty());
   EXPECT_TRUE(b.on_timer(0, 12345).empty());
   EXPECT_TRUE(b.on_probe_result(0, "nobody", Status::Ok, 0, {1}).empty());
-  std::string server = sent_to(b.on_request(0, read_of(1, "k")));
-  EXPECT_TRUE(b.on_request(0, read_of(1, "k")).empty());
-  EXPECT_TRUE(b.on_outcome(0, ended(1, server, Status::Ok, 7)).empty());
-  EXPECT_TRUE(b.on_outcome(0, ended(1, server, Status::Ok, -1)).empty());
+  std::string server = sent_to(b.on_request(0, read_request(1, "k")));
+  EXPECT_TRUE(b.on_request(0, read_request(1, "k")).empty());
+  EXPECT_TRUE(b.on_outcome(0, outcome_of(1, server, Status::Ok, 7)).empty());
+  EXPECT_TRUE(b.on_outcome(0, outcome_of(1, server, Status::Ok, -1)).empty());
 }
 
-TEST(Attempts, AsideMissesAndWritesGoToTheOrigin) {
-  Balancer b(aside_settings(), 7, 0);
+TEST(Attempts, CacheAsideMissesAndWritesGoToTheOrigin) {
+  Balancer b(cache_aside_settings(), 7, 0);
   auto list = fleet(5);
   list[4].kind = "ledger";
   b.on_list(0, ListScope::Full, list);
-  std::string cache = sent_to(b.on_request(0, read_of(1, "k")));
+  std::string cache = sent_to(b.on_request(0, read_request(1, "k")));
   EXPECT_NE(cache, list[4].id);
-  EXPECT_EQ(sent_to(b.on_outcome(1, ended(1, cache, Status::Miss))), list[4].id);
-  Request write = read_of(2, "k");
+  EXPECT_EQ(sent_to(b.on_outcome(1, outcome_of(1, cache, Status::Miss))), list[4].id);
+  Request write = read_request(2, "k");
   write.write = true;
   EXPECT_EQ(sent_to(b.on_request(2, write)), list[4].id);
 }
 
 // ---- list ----
-TEST(List, NothingNewGoesToADrainingGoneOrUnlistedServer) {
+TEST(List, NoRequestGoesToADrainingGoneOrUnlistedServer) {
   Balancer b(basic_settings(), 7, 0);
   auto list = fleet(4);
   b.on_list(0, ListScope::Full, list);
@@ -824,7 +835,7 @@
     EXPECT_EQ(serve(b, kS + Micros(id) * kMs, id, "k" + std::to_string(id)), list[3].id);
 }
 
-TEST(List, RoutersDoNotAskTogetherAndAskAgainAfterFailure) {
+TEST(List, RoutersSpreadTheirPollsAndPollAgainAfterAFailure) {
   Settings s = basic_settings();
   s.poll_list = true;
   s.routers = 300;
@@ -853,12 +864,12 @@
   now += t.delay;
   Actions a = b.on_timer(now, t.token);
   b.on_list(now, ListScope::Full, fleet(3));
-  EXPECT_TRUE(
-      b.on_timer(now + s.max_poll_delay, all<Timer>(a)[0].token).empty());  // watching: silent
+  EXPECT_TRUE(b.on_timer(now + s.max_poll_delay, all<Timer>(a)[0].token)
+                  .empty());  // watching: no further polls
 }
 
 // ---- settings ----
-TEST(SettingsCheck, UnusableOnesAreNamed) {
+TEST(SettingsCheck, ErrorNamesTheUnusableSetting) {
   auto message = [](auto change) -> std::string {
     Settings s = basic_settings();
     change(s);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -30,7 +30,7 @@
   return s;
 }
 
-inline Settings aside_settings() {
+inline Settings cache_aside_settings() {
   Settings s = basic_settings();
   s.cache_aside = true;
   s.origin_kind = "ledger";
@@ -50,7 +50,7 @@
   return list;
 }
 
-inline Request read_of(RequestId id, const std::string& key, Micros remaining = 500 * kMs) {
+inline Request read_request(RequestId id, const std::string& key, Micros remaining = 500 * kMs) {
   Request r;
   r.id = id;
   r.class_name = "read";
@@ -67,14 +67,14 @@
   return found;
 }
 
-/// The server a request was sent to, or "".
+/// The server of the first Send among the actions, or "".
 inline std::string sent_to(const Actions& actions) {
   auto sends = all<Send>(actions);
   return sends.empty() ? "" : sends.front().server;
 }
 
-inline Outcome ended(RequestId id, const std::string& server, Status status, int attempt = 0,
-                     Micros latency = 20 * kMs) {
+inline Outcome outcome_of(RequestId id, const std::string& server, Status status, int attempt = 0,
+                          Micros latency = 20 * kMs) {
   Outcome o;
   o.id = id;
   o.server = server;
@@ -85,21 +85,21 @@
   return o;
 }
 
-/// Sends one request and answers it at once with `status`; returns the server, or "" when refused.
+/// Sends one request and ends it at once with `status`; returns the server, or "" when refused.
 inline std::string serve(Balancer& b, Micros now, RequestId id, const std::string& key,
                          Status status = Status::Ok) {
-  std::string server = sent_to(b.on_request(now, read_of(id, key)));
-  if (!server.empty()) b.on_outcome(now, ended(id, server, status));
+  std::string server = sent_to(b.on_request(now, read_request(id, key)));
+  if (!server.empty()) b.on_outcome(now, outcome_of(id, server, status));
   return server;
 }
 
-/// Sends one request and answers each attempt, further ones too, with `status`; how many there
-/// were.
-inline int exhaust(Balancer& b, Micros now, RequestId id, const std::string& key, Status status) {
+/// Sends one request and ends every attempt with `status`; returns the number of attempts.
+inline int end_all_attempts(Balancer& b, Micros now, RequestId id, const std::string& key,
+                            Status status) {
   int attempts = 0;
-  std::string server = sent_to(b.on_request(now, read_of(id, key)));
+  std::string server = sent_to(b.on_request(now, read_request(id, key)));
   for (; !server.empty(); ++attempts)
-    server = sent_to(b.on_outcome(now, ended(id, server, status, attempts)));
+    server = sent_to(b.on_outcome(now, outcome_of(id, server, status, attempts)));
   return attempts;
 }
 
