--- a/tests/drive_test.cpp
+++ b/tests/drive_test.cpp
@@ -186,7 +186,7 @@
                      [&](const std::string& b) { return b.rfind("rule " + rule, 0) == 0; });
 }
 
-TEST(RandomDrive, CheckerNoticesALostAnswer) {
+TEST(RandomEvents, CheckerDetectsAMissingAnswer) {
   RandomRun d;
   d.run(1, [](Actions& actions) {
     std::erase_if(actions, [](const Action& a) { return std::holds_alternative<Refuse>(a); });
