--- a/include/robinseam/balancer.hpp
+++ b/include/robinseam/balancer.hpp
@@ -201,9 +201,9 @@
 using Actions = std::vector<Action>;
 
 namespace limits {
-class Rule;
+class ConcurrencyLimit;
 enum class LimitTarget { Origin, Server };
-using LimitFactory = std::function<std::unique_ptr<Rule>(LimitTarget)>;
+using LimitFactory = std::function<std::unique_ptr<ConcurrencyLimit>(LimitTarget)>;
 }  // namespace limits
 
 /// Makes the decisions of one router. Calls that break the contract are harmless: an outcome, end
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -255,8 +255,8 @@
   return best;
 }
 
-robinseam::limits::ConnectionBudget ServerSide::make_close_budget() const {
-  return robinseam::limits::ConnectionBudget(
+robinseam::limits::ConnectionCloseBudget ServerSide::make_close_budget() const {
+  return robinseam::limits::ConnectionCloseBudget(
       static_cast<double>(limits_.max_connections_per_server));
 }
 
@@ -264,7 +264,7 @@
 /// spends from the close budget that the server's answers fill. Closing an idle one is free: the
 /// sweep would close it anyway.
 bool ServerSide::try_spend_close(ServerConnection& c) {
-  if (c.idle() || c.pool_.budget.may_close(clock_.now())) return true;
+  if (c.idle() || c.pool_.budget.try_spend(clock_.now())) return true;
   ++counts_.kept_open;
   return false;
 }
@@ -458,7 +458,7 @@
 
 void ServerSide::record_dial(ServerPool& pool, bool at_connection_limit) {
   Micros now = clock_.now();
-  idle_timeout_.dialled(now, at_connection_limit);
+  idle_timeout_.record_dial(now, at_connection_limit);
   if (!at_connection_limit) return;
   ++counts_.dials_over_connection_limit;
   pool.no_dial_until = now + kDialPause;
@@ -525,7 +525,7 @@
 
 Micros ServerSide::idle_limit(const ServerPool& pool, Micros now) const {
   double rate = total_weight_ > 0 ? limits_.tier_rate * pool.weight / total_weight_ : 0;
-  return std::min(pool.idle_limit, idle_timeout_.time(now, rate));
+  return std::min(pool.idle_limit, idle_timeout_.timeout(now, rate));
 }
 
 void ServerSide::on_sweep(evutil_socket_t, short, void* self) {
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -12,11 +12,11 @@
 #include "limits/checks.hpp"
 #include "limits/draws.hpp"
 #include "limits/limits.hpp"
-#include "limits/pace.hpp"
+#include "limits/server_kind_speeds.hpp"
 #include "limits/slow_start.hpp"
-#include "recovery/asking.hpp"
-#include "recovery/company.hpp"
-#include "recovery/writes.hpp"
+#include "recovery/discovery_backoff.hpp"
+#include "recovery/keyed_writes.hpp"
+#include "recovery/tier_restart_detector.hpp"
 #include "robinseam/balancer.hpp"
 
 namespace robinseam {
@@ -188,7 +188,7 @@
     Micros rejection_cut_at = 0;
     Micros report_at = 0;
     limits::SlowStart slow_start;
-    std::unique_ptr<limits::Rule> window;  // limits attempts in flight
+    std::unique_ptr<limits::ConcurrencyLimit> window;  // limits attempts in flight
   };
   enum class RunState { InFlight, MayHaveRun, NotRun };
   struct Attempt {
@@ -213,7 +213,7 @@
     bool closed = false;
     bool missed = false;                     // cache-aside mode: a cache answered with a miss
     Status paused_status = Status::NotSent;  // outcome it was paused with until on_resume()
-    limits::Ask admission;
+    limits::AdmissionRequest admission;
     std::vector<Attempt> attempts;
   };
   struct ClassState {
@@ -266,7 +266,7 @@
   // Recent failures per attempt over the whole fleet.
   double error_rate = 0, late_rate = 0, unreachable_rate = 0, rejected_rate = 0, malformed_rate = 0;
   limits::Limits attempt_limits;
-  limits::Paces kind_speeds;
+  limits::ServerKindSpeeds kind_speeds;
   double mean_worth = 0;  // of a request, per unit of work
   // Recomputed by refresh_fleet_state().
   Micros refreshed_at = -1;
@@ -277,9 +277,9 @@
   bool ignore_down = false;
   // Server list.
   bool watching = false, polling = false;
-  recovery::Asking discovery_backoff;
-  recovery::Writes keyed_writes;
-  recovery::Company tier_restart;
+  recovery::DiscoveryBackoff discovery_backoff;
+  recovery::KeyedWrites keyed_writes;
+  recovery::TierRestartDetector tier_restart;
   std::uint64_t poll_token = 0;
   Micros next_poll_at = 0;  // when the next call to discovery is due
   std::uint64_t draws = 0, shed = 0, unroutable = 0, failed_after_attempts = 0;
@@ -406,7 +406,7 @@
   double spare_capacity() const {
     double idle = std::clamp((1 - mean_utilization) / (1 - kFreeUtilization), 0.0, 1.0);
     double shed_share =
-        std::max(attempt_limits.refused(now, false), attempt_limits.refused(now, true));
+        std::max(attempt_limits.shed_share(now, false), attempt_limits.shed_share(now, true));
     return idle * std::max(0.0, 1 - 2 * rejected_rate) * std::max(0.0, 1 - 2 * shed_share);
   }
 
@@ -514,9 +514,9 @@
   /// Whether another kind of server would probably meet the objective where this one would miss it.
   bool is_too_slow(const OpenRequest& o, const ServerState& s) const {
     double min_gain = kMinSpeedGain / std::max(0.01, spare_capacity() * spare_capacity());
-    return o.request.work &&
-           kind_speeds.gain_elsewhere(s.entry.kind, *o.request.work,
-                                      settings.classes[o.class_index].latency_objective) > min_gain;
+    return o.request.work && kind_speeds.gain_at_fastest_kind(
+                                 s.entry.kind, *o.request.work,
+                                 settings.classes[o.class_index].latency_objective) > min_gain;
   }
 
   /// Draws from `seed` to the next live segment whose server may take the request.
@@ -524,7 +524,7 @@
     Landing fallback;
     int skipped = 0;
     double cost = relative_cost(o), fetch_weight = attempt_limits.fetch_weight(o.admission),
-           window_share = attempt_limits.part(o.admission);
+           window_share = attempt_limits.window_share(o.admission);
     for (int left = kMaxDraws, before = left;; before = left) {
       int i = draw_live_server(seed, left);
       draws += static_cast<std::uint64_t>(before - std::max(left, 0));
@@ -536,7 +536,7 @@
           position_in_slot(mix(seed)) < zone_affinity)
         continue;
       if (!may_take_cold(s, cost)) continue;
-      bool has_capacity = s.window->has_room(now, 1, window_share);
+      bool has_capacity = s.window->has_capacity(now, 1, window_share);
       if (!has_capacity || at_limit(s)) {
         if (has_capacity && fallback.server < 0) fallback = {i, seed, fetch_weight};
         if (++skipped > kMaxSkippedLandings) return fallback;
@@ -652,7 +652,7 @@
   /// The share of a lost attempt that is attributed to its server: when fetches are lost at all
   /// servers, one more says little about this one.
   double server_share(const Attempt& a) const {
-    return 1 - a.fetch_weight * attempt_limits.fetches_lost();
+    return 1 - a.fetch_weight * attempt_limits.fetch_loss_share();
   }
 
   /// The fraction of its keys that a server gives up because of rejections. Each success restores a
@@ -751,15 +751,15 @@
       over_share = std::max(
           0.0, 1 - quota * kRateDecaySeconds / std::max(1e-9, tenant_rates[t] * rate_decay()));
     }
-    o.admission = {.name = request_hash(o),
-                   .held = o.cached,
-                   .wanted = o.key_count >= kPopularKeyCount,
+    o.admission = {.request_hash = request_hash(o),
+                   .cached = o.cached,
+                   .popular = o.key_count >= kPopularKeyCount,
                    .write = o.request.write,
                    .late = late,
                    .value = mean_worth > 0 ? value / mean_worth : 1,
                    .over_share = over_share,
                    .remaining = o.request.remaining,
-                   .aim = c.latency_objective};
+                   .latency_objective = c.latency_objective};
     return !attempt_limits.admits(now, o.admission);
   }
 
@@ -778,7 +778,7 @@
       mean_work += (mean_work <= 0 ? 1 : 0.02) * (work - mean_work);
     }
     if (o.first_try_at != o.arrived_at) return;
-    attempt_limits.earn();
+    attempt_limits.earn_tokens();
     first_try_sum += relative_cost(o);
   }
 
@@ -810,9 +810,10 @@
     const ClassSettings& c = settings.classes[o.class_index];
     if (effect_of(o) == Effect::Repeatable) return true;
     // Earlier tries of the write count as well.
-    if (const recovery::Writes::First* first =
-            o.write_hash ? keyed_writes.first(o.write_hash) : nullptr)
-      if (!recovery::Writes::drops(c, *first, now + 2 * settings.tick, to.entry)) return false;
+    if (const recovery::KeyedWrites::FirstSend* first =
+            o.write_hash ? keyed_writes.first_send(o.write_hash) : nullptr)
+      if (!recovery::KeyedWrites::is_deduplicated(c, *first, now + 2 * settings.tick, to.entry))
+        return false;
     for (const Attempt& a : o.attempts) {
       if (a.run_state == RunState::NotRun) continue;
       if (effect_of(o) == Effect::Once) return false;
@@ -826,11 +827,11 @@
 
   bool may_refuse(const OpenRequest& o) const {
     const ClassSettings& c = settings.classes[o.class_index];
-    const recovery::Writes::First* first =
-        o.write_hash ? keyed_writes.first(o.write_hash) : nullptr;
+    const recovery::KeyedWrites::FirstSend* first =
+        o.write_hash ? keyed_writes.first_send(o.write_hash) : nullptr;
     if (effect_of(o) == Effect::Repeatable || !(first || may_have_run(o))) return true;
-    // A retry might run it again.
-    if (first && now + 2 * settings.tick >= first->sent + c.key_ttl) return false;
+    if (first && now + 2 * settings.tick >= first->sent_at + c.key_ttl)
+      return false;  // a retry might run it again
     return effect_of(o) == Effect::Keyed && c.group == Group::All;
   }
 
@@ -855,7 +856,7 @@
   /// Closes a request without an answer; its client may retry.
   void close_unserved(OpenRequest& o) {
     o.closed = true;
-    attempt_limits.repeats().leave(request_hash(o), o.first_try_at);
+    attempt_limits.retry_detector().record_unserved(request_hash(o), o.first_try_at);
   }
 
   void refuse_or_fail(OpenRequest& o) {
@@ -865,11 +866,12 @@
     // An attempt that did not run says nothing about where the key is held.
     if (may_have_run(o)) record_key_cached(o, false);
     double chance = position_in_slot(mix(o.request.id));
-    Micros retry_after = attempt_limits.come_back(now, chance);
+    Micros retry_after = attempt_limits.retry_after(now, chance);
     // Nothing can be served before the list arrives.
     if (settings.poll_list && !discovery_backoff.usable())
-      retry_after = std::clamp(discovery_backoff.list_in(polling ? 0 : next_poll_at - now, chance),
-                               retry_after, settings.max_retry_after);
+      retry_after =
+          std::clamp(discovery_backoff.list_wait(polling ? 0 : next_poll_at - now, chance),
+                     retry_after, settings.max_retry_after);
     if (may_refuse(o))
       actions.push_back(Refuse{o.request.id, retry_after});
     else
@@ -949,13 +951,13 @@
     trials += s.ramp_start > 0 && s.suspicion > 0;
     o.attempts.push_back({server, now});
     o.attempts.back().fetch_weight = fetch_weight;
-    if (o.write_hash) keyed_writes.sent(now, o.write_hash, s.entry);
-    s.window->sent(now, 1);
-    attempt_limits.sent(now, o.attempts.back().fetch_weight);
+    if (o.write_hash) keyed_writes.record_send(now, o.write_hash, s.entry);
+    s.window->record_send(now, 1);
+    attempt_limits.record_send(now, o.attempts.back().fetch_weight);
     ++s.in_flight, ++s.attempt_refs, ++total_in_flight;
     decay_rates();
     sent_sum += relative_cost(o);
-    if (is_cold(s)) s.slow_start.sent(relative_cost(o));
+    if (is_cold(s)) s.slow_start.record_send(relative_cost(o));
     Micros time_left = o.deadline - now;
     Micros timeout = attempt_timeout(o);
     bool may_follow = static_cast<int>(o.attempts.size()) < settings.max_attempts &&
@@ -977,10 +979,10 @@
                   status == Status::Malformed || status == Status::ConnectionLimit;
     const ServerState& last = servers[o.attempts.back().server];
     broken |= is_outlier(last);  // the fault is only that server's
-    limits::Cause cause = broken ? limits::Cause::Broken
-                          : status == Status::Rejected || status == Status::NotSent
-                              ? limits::Cause::Unseen
-                              : limits::Cause::Load;
+    limits::RetryCause cause = broken ? limits::RetryCause::Broken
+                               : status == Status::Rejected || status == Status::NotSent
+                                   ? limits::RetryCause::NotRun
+                                   : limits::RetryCause::Load;
     bool time_left = o.deadline - now > 2 * settings.tick;
     // No other server has it either.
     if (status == Status::Miss && is_origin(last)) return refuse_or_fail(o);
@@ -996,16 +998,17 @@
     // While requests are shed nothing is retried: a retry would take the place of a first try.
     // Broken connections, malformed answers and faulty servers are no sign of load; the tokens
     // bound their retries.
-    futile |= !broken && (attempt_limits.pressed(now) ||
-                          !attempt_limits.has_room(now, attempt_limits.fetch_weight(o.admission)));
-    if (!futile && time_left && attempt_limits.spend(cause) && send_attempt(o)) return;
+    futile |=
+        !broken && (attempt_limits.is_shedding(now) ||
+                    !attempt_limits.has_capacity(now, attempt_limits.fetch_weight(o.admission)));
+    if (!futile && time_left && attempt_limits.spend_retry(cause) && send_attempt(o)) return;
     refuse_or_fail(o);
   }
 
   // ---- list ----
   void record_restart_sample(int source, bool trouble) {
-    tier_restart.saw(now, source, trouble);
-    if (tier_restart.freed()) attempt_limits.came_alone();
+    tier_restart.record_sample(now, source, trouble);
+    if (tier_restart.take_alone_verdict()) attempt_limits.release_withheld_budget();
   }
 
   void schedule_poll(Micros delay) {
@@ -1015,15 +1018,16 @@
 
   void on_list_failure() {
     watching = polling = false;
-    record_restart_sample(recovery::Company::kDiscovery, true);
-    schedule_poll(discovery_backoff.failed(random()));
+    record_restart_sample(recovery::TierRestartDetector::kDiscoverySource, true);
+    schedule_poll(discovery_backoff.delay_after_failure(random()));
   }
 
   /// A server of an unconfirmed list cannot be reached: the list may be out of date.
   void record_unreachable(int server) {
-    if (!settings.poll_list || watching || polling || !discovery_backoff.doubted(server)) return;
-    discovery_backoff.hold(false);
-    schedule_poll(discovery_backoff.first(random()));
+    if (!settings.poll_list || watching || polling || !discovery_backoff.record_unreachable(server))
+      return;
+    discovery_backoff.set_usable(false);
+    schedule_poll(discovery_backoff.first_delay(random()));
   }
 
   void apply_entry(const Server& entry) {
@@ -1032,7 +1036,7 @@
       if (entry.health == Health::Gone) return;
       if (free_indices.empty())
         free_indices.push_back(static_cast<int>(servers.size())), servers.emplace_back();
-      servers[free_indices.back()].window = attempt_limits.server_rule();
+      servers[free_indices.back()].window = attempt_limits.make_server_limit();
       it = server_index.emplace(entry.id, free_indices.back()).first;
       free_indices.pop_back();
     }
@@ -1064,7 +1068,7 @@
         continue;
       }
       servers[i] = ServerState();
-      attempt_limits.forget(static_cast<std::size_t>(i));
+      attempt_limits.forget_server(static_cast<std::size_t>(i));
       free_indices.push_back(i);
       for (auto& [name, s] : saved_seeds)
         if (s.home_server == i) s.home_server = -1;
@@ -1072,7 +1076,7 @@
     }
     std::set<std::string> kinds;
     for (const auto& [id, i] : server_index) kinds.insert(servers[i].entry.kind);
-    kind_speeds.keep(kinds);
+    kind_speeds.retain_kinds(kinds);
   }
 
   void begin_event(Micros t) {
@@ -1087,7 +1091,7 @@
   Impl& m = *impl_;
   limits::check_settings(settings);
   m.rng = mix(seed);
-  m.tier_restart = recovery::Company(settings.routers, now);
+  m.tier_restart = recovery::TierRestartDetector(settings.routers, now);
   m.now = m.started_at = m.rates_at = m.generation_start = now;
   m.classes.resize(settings.classes.size());
   m.tenant_rates.resize(settings.tenants.size());
@@ -1099,8 +1103,8 @@
 Actions Balancer::start(Micros now) {
   Impl& m = *impl_;
   m.begin_event(now);
-  m.discovery_backoff.hold(true);  // until the persisted list has been read
-  if (m.settings.poll_list) m.schedule_poll(m.discovery_backoff.first(m.random()));
+  m.discovery_backoff.set_usable(true);  // until the persisted list has been read
+  if (m.settings.poll_list) m.schedule_poll(m.discovery_backoff.first_delay(m.random()));
   return std::move(m.actions);
 }
 
@@ -1112,8 +1116,9 @@
     return std::move(m.actions);
   }
   bool unconfirmed = scope == ListScope::Cached || scope == ListScope::Unverified;
-  if (!unconfirmed) m.attempt_limits.list_told();
-  if (!unconfirmed && m.polling) m.polling = false, m.watching = true, m.discovery_backoff.told();
+  if (!unconfirmed) m.attempt_limits.confirm_list();
+  if (!unconfirmed && m.polling)
+    m.polling = false, m.watching = true, m.discovery_backoff.record_list();
   if (scope != ListScope::Delta) {
     std::map<std::string, bool> listed;
     for (const Server& e : entries) listed[e.id] = true;
@@ -1126,17 +1131,18 @@
     auto count_servers = [&](auto test) {
       return static_cast<int>(std::count_if(m.servers.begin(), m.servers.end(), test));
     };
-    m.tier_restart.list(m.now, count_servers([&](const auto& s) { return m.usable(s); }),
-                        count_servers([&](const auto& s) { return m.usable(s) && m.is_cold(s); }));
+    m.tier_restart.record_list(
+        m.now, count_servers([&](const auto& s) { return m.usable(s); }),
+        count_servers([&](const auto& s) { return m.usable(s) && m.is_cold(s); }));
   }
   m.assign_slots();
-  m.discovery_backoff.hold(std::any_of(m.servers.begin(), m.servers.end(),
-                                       [&](const Impl::ServerState& s) { return m.usable(s); }));
+  m.discovery_backoff.set_usable(std::any_of(
+      m.servers.begin(), m.servers.end(), [&](const Impl::ServerState& s) { return m.usable(s); }));
   bool usable = m.discovery_backoff.usable();
-  if (scope == ListScope::Unverified) m.discovery_backoff.hold(false);
+  if (scope == ListScope::Unverified) m.discovery_backoff.set_usable(false);
   if (unconfirmed && m.settings.poll_list && !m.discovery_backoff.usable())
-    m.schedule_poll(m.discovery_backoff.first(m.random()));
-  m.discovery_backoff.hold(usable);
+    m.schedule_poll(m.discovery_backoff.first_delay(m.random()));
+  m.discovery_backoff.set_usable(usable);
   return std::move(m.actions);
 }
 
@@ -1158,10 +1164,10 @@
         mix(hash_name(request.idempotency_key) + static_cast<std::uint64_t>(o.class_index));
     // Its first try may have gone to another router, or to this one before a restart.
     if (request.retry)
-      m.keyed_writes.presume(m.now, o.write_hash, m.settings.classes[o.class_index].deadline);
+      m.keyed_writes.presume_sent(m.now, o.write_hash, m.settings.classes[o.class_index].deadline);
   }
-  o.first_try_at = m.attempt_limits.repeats().take(m.now, m.request_hash(o),
-                                                   m.settings.classes[o.class_index].deadline);
+  o.first_try_at = m.attempt_limits.retry_detector().take_first_try(
+      m.now, m.request_hash(o), m.settings.classes[o.class_index].deadline);
   m.count_arrival(o);
   if (!request.key.empty()) m.count_key(o);
   bool shed = m.should_shed(o);
@@ -1206,7 +1212,7 @@
                  r.status == Status::NotSent || r.status == Status::Miss ||
                  r.status == Status::ConnectionLimit;
   a.run_state = not_run ? Impl::RunState::NotRun : Impl::RunState::MayHaveRun;
-  if (not_run && o.write_hash) m.keyed_writes.never_ran(o.write_hash);
+  if (not_run && o.write_hash) m.keyed_writes.record_not_run(o.write_hash);
   bool no_capacity = r.status == Status::Rejected || r.status == Status::ConnectionLimit;
   if (no_capacity || r.status == Status::Ok) m.record_restart_sample(a.server, no_capacity);
   m.record_report(s, r.report);
@@ -1225,16 +1231,17 @@
   // A latency longer than the client waited comes from a clock step or a process pause.
   Micros latency = std::min(r.latency, std::max<Micros>(o.request.remaining, m.settings.tick));
   limits::Evidence load = m.evidence(a, r.status);
-  m.attempt_limits.ended(m.now, a.sent_at, static_cast<std::size_t>(a.server), a.fetch_weight, load,
-                         m.is_outlier(s) || s.suspicion >= kServerFaultSuspicion, latency,
-                         r.cache_result, o.admission);
+  m.attempt_limits.record_end(m.now, a.sent_at, static_cast<std::size_t>(a.server), a.fetch_weight,
+                              load, m.is_outlier(s) || s.suspicion >= kServerFaultSuspicion,
+                              latency, r.cache_result, o.admission);
   // The origin's part of a fetch says nothing about the server's own queue.
   if (r.status == Status::Rejected && s.utilization >= kBusyUtilization)
     load = limits::Evidence::Bad;
   else if (load == limits::Evidence::Bad || r.cache_result > 1 || o.request.write)
     load = limits::Evidence::None;
-  s.window->ended(m.now, a.sent_at, 1, load, static_cast<double>(latency) / m.relative_cost(o),
-                  static_cast<double>(m.settings.classes[o.class_index].latency_objective) / 2);
+  s.window->record_end(
+      m.now, a.sent_at, 1, load, static_cast<double>(latency) / m.relative_cost(o),
+      static_cast<double>(m.settings.classes[o.class_index].latency_objective) / 2);
   // An outlier's failures say nothing about the fleet.
   if (r.status == Status::Ok || (r.status != Status::ConnectionLimit && !m.is_outlier(s))) {
     update_rate(m.error_rate, r.status == Status::Error);
@@ -1249,7 +1256,7 @@
       s.rejection_cut *= 1 - kRejectionCutRelease;
       if (!m.is_origin(s)) m.record_latency(s, o.class_index, latency, true, r.cache_result <= 1);
       if (!m.is_origin(s) && r.cache_result <= 1 && o.request.work)
-        m.kind_speeds.note(s.entry.kind, *o.request.work, latency);
+        m.kind_speeds.record_answer(s.entry.kind, *o.request.work, latency);
       break;
     case Status::Miss:
       m.record_success(s);
@@ -1321,7 +1328,8 @@
     if (id != m.poll_token || m.watching) return {};
     m.polling = true;
     m.actions.push_back(WatchList{});
-    m.schedule_poll(m.discovery_backoff.beside(m.random()));  // polls again if no answer arrives
+    // Polls again if no answer arrives.
+    m.schedule_poll(m.discovery_backoff.silent_call_delay(m.random()));
     return std::move(m.actions);
   }
   auto it = m.open_requests.find(id);
@@ -1338,9 +1346,9 @@
              o.attempts.back().run_state == Impl::RunState::InFlight &&
              m.now - o.attempts.back().sent_at >= m.attempt_timeout(o) / 2) {
     m.record_stall(o.attempts.back(), 0.5);
-    if (!m.attempt_limits.pressed(m.now) &&
-        m.attempt_limits.has_room(m.now, m.attempt_limits.fetch_weight(o.admission)) &&
-        m.attempt_limits.spend_copy())
+    if (!m.attempt_limits.is_shedding(m.now) &&
+        m.attempt_limits.has_capacity(m.now, m.attempt_limits.fetch_weight(o.admission)) &&
+        m.attempt_limits.spend_hedge())
       m.send_attempt(o);
   }
   m.erase_if_done(id);
@@ -1367,17 +1375,17 @@
   s.draws = m.draws;
   s.shed = m.shed, s.unroutable = m.unroutable, s.failed_after_attempts = m.failed_after_attempts;
   s.retries = m.retries, s.hedges = m.hedges, s.trials = m.trials;
-  s.uncached_shed_share = m.attempt_limits.refused(m.now, false),
-  s.cached_shed_share = m.attempt_limits.refused(m.now, true);
-  s.fetch_limit = m.attempt_limits.fetches().limit(),
-  s.fetches_in_flight = m.attempt_limits.fetches().out();
+  s.uncached_shed_share = m.attempt_limits.shed_share(m.now, false),
+  s.cached_shed_share = m.attempt_limits.shed_share(m.now, true);
+  s.fetch_limit = m.attempt_limits.fetch_limit().limit(),
+  s.fetches_in_flight = m.attempt_limits.fetch_limit().in_flight();
   s.late_rate = m.late_rate, s.error_rate = m.error_rate, s.rejected_rate = m.rejected_rate,
   s.unreachable_rate = m.unreachable_rate;
   s.malformed_rate = m.malformed_rate;
   s.utilization = m.mean_utilization;
   s.live_servers = m.live_servers, s.zone_affinity = m.zone_affinity;
   s.restart_verdict = static_cast<int>(m.tier_restart.verdict());
-  s.tracked_writes = m.keyed_writes.kept(), s.evicted_writes = m.keyed_writes.forgotten();
+  s.tracked_writes = m.keyed_writes.size(), s.evicted_writes = m.keyed_writes.evicted();
   return s;
 }
 
--- a/src/tier/scenario.cpp
+++ b/src/tier/scenario.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Micros kMaxDuration = 600 * kSecond;
-// As large as any list elsewhere; what a machine bears of it is its own limit on processes and
-// descriptors, which the stage raises to what the system allows.
+// The bound on server lists elsewhere. What a machine can run of it depends on its limits on
+// processes and descriptors; the runner raises the latter as far as the system allows.
 constexpr int kMaxRouters = 1024, kMaxCaches = 1024;
 
 template <class E>
@@ -84,18 +84,18 @@
 template <class E, std::size_t N>
 void read_choice(TableReader& t, const char* name, const std::array<NamedValue<E>, N>& all,
                  E& value) {
-  std::vector<std::string> words;
-  for (const auto& one : all) words.emplace_back(one.name);
-  std::string word = words.front();
-  for (const auto& one : all)
-    if (one.value == value) word = one.name;
-  t.choice(name, word, words);
-  for (const auto& one : all)
-    if (word == one.name) value = one.value;
+  std::vector<std::string> names;
+  for (const auto& entry : all) names.emplace_back(entry.name);
+  std::string name_read = names.front();
+  for (const auto& entry : all)
+    if (entry.value == value) name_read = entry.name;
+  t.choice(name, name_read, names);
+  for (const auto& entry : all)
+    if (name_read == entry.name) value = entry.value;
 }
 
 void require(TableReader& t, const char* name) {
-  if (!t.has(name)) t.error(std::string("no ") + name);
+  if (!t.has(name)) t.error(std::string("missing key ") + name);
 }
 
 void read_link(TableReader& t, const Scenario& s, Action& a) {
@@ -139,15 +139,15 @@
   t.duration("at", a.at, 0, s.duration);
   read_choice(t, "what", kActionKinds, a.kind);
   t.text("label", a.label);
-  bool on_routers = a.kind <= Kind::Link;
-  if (on_routers) {
+  bool acts_on_routers = a.kind <= Kind::Link;
+  if (acts_on_routers) {
     require(t, "routers");
     t.group("routers", a.routers, s.router_count);
   }
   if (a.kind < Kind::Link || a.kind == Kind::Cache) t.duration("each", a.stagger, 0, s.duration);
   t.integer("times", a.repetitions, 1, 10'000);
   t.duration("every", a.interval, 0, s.duration);
-  if (a.repetitions > 1 && a.interval == 0) t.error("times without every");
+  if (a.repetitions > 1 && a.interval == 0) t.error("times needs every");
   switch (a.kind) {
     case Kind::Kill:
     case Kind::Term:
@@ -200,10 +200,10 @@
       break;
   }
   if (a.at + (a.repetitions - 1) * a.interval + std::max<Micros>(0, a.restart_delay) > s.duration)
-    t.error("goes on past the end of the scenario");
+    t.error("extends beyond the end of the scenario");
   if (a.label.empty())
-    for (const auto& one : kActionKinds)
-      if (one.value == a.kind) a.label = one.name;
+    for (const auto& entry : kActionKinds)
+      if (entry.value == a.kind) a.label = entry.name;
   s.actions.push_back(std::move(a));
 }
 
@@ -213,11 +213,11 @@
   h.to = s.duration;
   require(t, "what");
   read_choice(t, "what", kMetrics, h.metric);
-  for (const auto& one : kMetrics)
-    if (one.value == h.metric) h.label = one.name;
+  for (const auto& entry : kMetrics)
+    if (entry.value == h.metric) h.label = entry.name;
   t.duration("from", h.from, 0, s.duration);
   t.duration("to", h.to, 0, s.duration);
-  if (h.to <= h.from) t.error("to is not after from");
+  if (h.to <= h.from) t.error("to must be after from");
   if (h.metric == Metric::ServedShare || h.metric == Metric::FirstServedTime)
     t.group("routers", h.routers, s.router_count);
   if (h.metric == Metric::PeakDials || h.metric == Metric::PeakAttempts ||
@@ -237,7 +237,7 @@
   };
   bound("least", h.min, h.has_min);
   bound("most", h.max, h.has_max);
-  if (!h.has_min && !h.has_max) t.error("neither least nor most");
+  if (!h.has_min && !h.has_max) t.error("needs least or most");
   s.claims.push_back(std::move(h));
 }
 
@@ -283,11 +283,11 @@
       r.duration("work", s.origin_work_time, 100, 10 * kSecond);
     });
     t.table("discovery", [&](TableReader& r) {
-      r.duration("work", s.discovery_capacity.work, 0, kMaxDuration);
-      r.duration("most_wait", s.discovery_capacity.most_wait, 0, kMaxDuration);
-      r.integer("line", s.discovery_capacity.line, 0, 10'000);
-      r.flag("works_on_expired", s.discovery_capacity.works_on_expired);
-      r.flag("one_each", s.discovery_capacity.one_each);
+      r.duration("work", s.discovery_capacity.service_time, 0, kMaxDuration);
+      r.duration("most_wait", s.discovery_capacity.max_wait, 0, kMaxDuration);
+      r.integer("line", s.discovery_capacity.max_queue, 0, 10'000);
+      r.flag("works_on_expired", s.discovery_capacity.serves_expired_calls);
+      r.flag("one_each", s.discovery_capacity.one_call_per_caller);
       r.flag("pushed", s.pushed_lists);
     });
     t.table("load", [&](TableReader& r) {
@@ -309,9 +309,9 @@
     errors.add(e.source(), std::string(e.description()));
   }
   if (!errors.all().empty()) {
-    std::string all;
-    for (const std::string& one : errors.all()) all += (all.empty() ? "" : "\n") + one;
-    throw std::runtime_error(all);
+    std::string message;
+    for (const std::string& entry : errors.all()) message += (message.empty() ? "" : "\n") + entry;
+    throw std::runtime_error(message);
   }
   return s;
 }
@@ -319,7 +319,7 @@
 Scenario read_scenario(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
-  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": can't be read");
+  if (!file || !(text << file.rdbuf())) throw std::runtime_error(path + ": cannot be read");
   return parse_scenario(text.str(), path);
 }
 
--- a/src/tier/toml_reader.cpp
+++ b/src/tier/toml_reader.cpp
@@ -16,23 +16,23 @@
 }
 
 template <class T>
-std::string range_error(T least, T most) {
+std::string range_error(T min, T max) {
   std::ostringstream out;
-  out << "not from " << least << " to " << most;
+  out << "must be from " << min << " to " << max;
   return out.str();
 }
 
-/// Parts of a group; false where the text is none.
+/// Adds an index or a range of indices; false if the text is neither.
 bool add_range(std::string_view text, int count, std::vector<int>& all) {
   int from = 0, to = 0;
   const char* end = text.data() + text.size();
-  auto [stop, error] = std::from_chars(text.data(), end, from);
-  if (error != std::errc()) return false;
+  auto [number_end, result] = std::from_chars(text.data(), end, from);
+  if (result != std::errc()) return false;
   to = from;
-  if (stop != end) {
-    if (*stop != '-') return false;
-    auto [stop2, error2] = std::from_chars(stop + 1, end, to);
-    if (error2 != std::errc() || stop2 != end) return false;
+  if (number_end != end) {
+    if (*number_end != '-') return false;
+    auto [range_end, range_result] = std::from_chars(number_end + 1, end, to);
+    if (range_result != std::errc() || range_end != end) return false;
   }
   if (from < 0 || to < from || to >= count) return false;
   for (int k = from; k <= to; ++k) all.push_back(k);
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-void ErrorList::add(const toml::source_region& at, const std::string& what) {
+void ErrorList::add(const toml::source_region& at, const std::string& message) {
   all_.push_back(file_ + ":" + std::to_string(at.begin.line) + ":" +
-                 std::to_string(at.begin.column) + ": " + what);
+                 std::to_string(at.begin.column) + ": " + message);
 }
 
 std::optional<Micros> parse_duration(const std::string& text) {
@@ -51,10 +51,10 @@
       {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"min", 60e6}}};
   double value = 0;
   const char* end = text.data() + text.size();
-  auto [stop, error] = std::from_chars(text.data(), end, value);
-  if (error != std::errc() || !std::isfinite(value) || value < 0 || value > 1e9)
+  auto [number_end, result] = std::from_chars(text.data(), end, value);
+  if (result != std::errc() || !std::isfinite(value) || value < 0 || value > 1e9)
     return std::nullopt;
-  std::string_view unit(stop, static_cast<std::size_t>(end - stop));
+  std::string_view unit(number_end, static_cast<std::size_t>(end - number_end));
   for (const auto& [name, micros] : kUnits)
     if (unit == name) return static_cast<Micros>(std::llround(value * micros));
   return std::nullopt;
@@ -71,9 +71,9 @@
   return all.empty() ? all : all + ": ";
 }
 
-void TableReader::error_at(std::string_view name, const std::string& what) {
+void TableReader::error_at(std::string_view name, const std::string& message) {
   const toml::node* n = table_.get(name);
-  errors_.add(n ? n->source() : table_.source(), key_path(name) + what);
+  errors_.add(n ? n->source() : table_.source(), key_path(name) + message);
 }
 
 bool TableReader::has(std::string_view name) { return node(name) != nullptr; }
@@ -81,61 +81,62 @@
 void TableReader::text(std::string_view name, std::string& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (auto got = n->value_exact<std::string>())
-    value = *got;
+  if (auto read = n->value_exact<std::string>())
+    value = *read;
   else
-    error_at(name, "not a text");
+    error_at(name, "not a string");
 }
 
 void TableReader::choice(std::string_view name, std::string& value,
                          const std::vector<std::string>& words) {
   if (!node(name)) return;
-  std::string got = value;
-  text(name, got);
+  std::string read = value;
+  text(name, read);
   std::string all;
   for (const std::string& one : words) {
-    if (one == got) {
-      value = got;
+    if (one == read) {
+      value = read;
       return;
     }
     all += (all.empty() ? "" : ", ") + one;
   }
-  error_at(name, "'" + got + "' is none of " + all);
+  error_at(name, "'" + read + "' is not one of " + all);
 }
 
 void TableReader::flag(std::string_view name, bool& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (auto got = n->value_exact<bool>())
-    value = *got;
+  if (auto read = n->value_exact<bool>())
+    value = *read;
   else
-    error_at(name, "neither true nor false");
+    error_at(name, "must be true or false");
 }
 
-void TableReader::integer(std::string_view name, int& value, int least, int most) {
+void TableReader::integer(std::string_view name, int& value, int min, int max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value_exact<std::int64_t>();
-  if (!got || *got < least || *got > most) return error_at(name, range_error(least, most));
-  value = static_cast<int>(*got);
+  auto read = n->value_exact<std::int64_t>();
+  if (!read || *read < min || *read > max) return error_at(name, range_error(min, max));
+  value = static_cast<int>(*read);
 }
 
-void TableReader::number(std::string_view name, double& value, double least, double most) {
+void TableReader::number(std::string_view name, double& value, double min, double max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value<double>();
-  if (!got || !(*got >= least && *got <= most)) return error_at(name, range_error(least, most));
-  value = *got;
+  auto read = n->value<double>();
+  if (!read || !(*read >= min && *read <= max)) return error_at(name, range_error(min, max));
+  value = *read;
 }
 
-void TableReader::duration(std::string_view name, Micros& value, Micros least, Micros most) {
+void TableReader::duration(std::string_view name, Micros& value, Micros min, Micros max) {
   const toml::node* n = node(name);
   if (!n) return;
-  auto got = n->value_exact<std::string>();
-  auto span = got ? parse_duration(*got) : std::nullopt;
-  if (!span) return error_at(name, "no time with a unit, as \"20ms\", \"1.5s\", \"2min\"");
-  if (*span < least || *span > most)
-    return error_at(name, range_error(format_duration(least), format_duration(most)));
+  auto read = n->value_exact<std::string>();
+  auto span = read ? parse_duration(*read) : std::nullopt;
+  if (!span)
+    return error_at(name, "not a duration with a unit, such as \"20ms\", \"1.5s\" or \"2min\"");
+  if (*span < min || *span > max)
+    return error_at(name, range_error(format_duration(min), format_duration(max)));
   value = *span;
 }
 
@@ -145,8 +146,8 @@
   std::string text;
   if (auto number = n->value_exact<std::int64_t>())
     text = std::to_string(*number);
-  else if (auto got = n->value_exact<std::string>())
-    text = *got;
+  else if (auto read = n->value_exact<std::string>())
+    text = *read;
   std::vector<int> all;
   bool good = !text.empty();
   if (text == "all") text = "0-" + std::to_string(count - 1);
@@ -156,15 +157,15 @@
     good = add_range(part, count, all);
   }
   if (!good)
-    return error_at(
-        name, "no group as \"all\", \"3\" or \"0-2, 5\" of 0 to " + std::to_string(count - 1));
+    return error_at(name, "not a list of indices such as \"all\", \"3\" or \"0-2, 5\", from 0 to " +
+                              std::to_string(count - 1));
   value = std::move(all);
 }
 
 void TableReader::table(std::string_view name, const std::function<void(TableReader&)>& read) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (!n->is_table()) return error_at(name, "no table");
+  if (!n->is_table()) return error_at(name, "not a table");
   TableReader inner(*n->as_table(),
                     path_.empty() ? std::string(name) : path_ + "." + std::string(name), errors_);
   read(inner);
@@ -175,12 +176,12 @@
   const toml::node* n = node(name);
   if (!n) return;
   const toml::array* all = n->as_array();
-  if (!all) return error_at(name, "no array of tables ([[" + std::string(name) + "]])");
+  if (!all) return error_at(name, "not an array of tables ([[" + std::string(name) + "]])");
   std::size_t number = 0;
   for (const toml::node& one : *all) {
     std::string path = std::string(name) + "[" + std::to_string(number++) + "]";
     if (!one.is_table()) {
-      errors_.add(one.source(), path + ": no table");
+      errors_.add(one.source(), path + ": not a table");
       continue;
     }
     TableReader inner(*one.as_table(), path, errors_);
@@ -192,7 +193,7 @@
 void TableReader::json(std::string_view name, std::string& value) {
   const toml::node* n = node(name);
   if (!n) return;
-  if (!n->is_table()) return error_at(name, "no table");
+  if (!n->is_table()) return error_at(name, "not a table");
   std::ostringstream out;
   out << toml::json_formatter(*n->as_table());
   value = out.str();
@@ -203,7 +204,7 @@
     if (!known_keys_.count(key.str())) {
       std::string all;
       for (const std::string& name : known_keys_) all += (all.empty() ? "" : ", ") + name;
-      errors_.add(one.source(), key_path(key.str()) + "no such name; known here: " + all);
+      errors_.add(one.source(), key_path(key.str()) + "unknown key; known keys: " + all);
     }
 }
 
