--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -5,12 +5,12 @@
 
 constexpr NameTable<Status, 9> kStatusNames{{{"completed", Status::Ok},
                                              {"errored", Status::Error},
-                                             {"saturated", Status::Full},
+                                             {"saturated", Status::Rejected},
                                              {"overdue", Status::Timeout},
                                              {"refused_conn", Status::ConnectFailed},
                                              {"severed", Status::Reset},
                                              {"recalled", Status::Cancelled},
-                                             {"superseded", Status::Moot},
+                                             {"superseded", Status::NotSent},
                                              {"lookup_miss", Status::Miss}}};
 RequestId parse_request_id(const Line& line) {
   return static_cast<RequestId>(
@@ -91,12 +91,12 @@
   struct Writer {
     std::string operator()(const Send& a) const {
       std::string line = "route Tid=" + std::to_string(a.id) + " Server=" + a.server;
-      if (a.patience > 0) line += " PatienceUs=" + std::to_string(a.patience);
+      if (a.timeout > 0) line += " PatienceUs=" + std::to_string(a.timeout);
       return line;
     }
     std::string operator()(const Refuse& a) const {
       std::string line = "deny Tid=" + std::to_string(a.id);
-      if (a.wait > 0) line += " WaitUs=" + std::to_string(a.wait);
+      if (a.retry_after > 0) line += " WaitUs=" + std::to_string(a.retry_after);
       return line;
     }
     std::string operator()(const Fail& a) const {
@@ -105,10 +105,10 @@
     std::string operator()(const Cancel& a) const {
       return "call_off Tid=" + std::to_string(a.id) + " SendNo=" + std::to_string(a.attempt);
     }
-    std::string operator()(const Watch&) const { return "follow Want=1"; }
-    std::string operator()(const Fetch&) const { return "pull"; }
+    std::string operator()(const WatchList&) const { return "follow Want=1"; }
+    std::string operator()(const FetchList&) const { return "pull"; }
     std::string operator()(const Timer& a) const {
-      return "wake_at SpanUs=" + std::to_string(a.after) + " Nonce=" + std::to_string(a.token);
+      return "wake_at SpanUs=" + std::to_string(a.delay) + " Nonce=" + std::to_string(a.token);
     }
     std::string operator()(const Probe& a) const { return "health_check Server=" + a.server; }
   };
@@ -195,18 +195,18 @@
   } else if (name == "arrival") {
     Request r;
     r.id = parse_request_id(line);
-    r.type = line.text("Type");
+    r.class_name = line.text("Type");
     if (const auto* v = line.find("Project")) r.tenant = *v;
     if (const auto* v = line.find("Entity")) r.key = *v;
     r.remaining = parse_duration(line, "RemainingUs");
     if (line.find("HintUs")) r.work = parse_duration(line, "HintUs");
-    r.repeat = line.flag("Repeat");
+    r.retry = line.flag("Repeat");
     r.write = line.flag("Mutates");
     append_actions(current_instance().on_request(now_, r));
   } else if (name == "established") {
-    append_actions(
-        current_instance().on_first(now_, parse_request_id(line), std::string(line.text("Server")),
-                                    parse_attempt(line), parse_duration(line, "LatencyUs", 0)));
+    append_actions(current_instance().on_answer_start(
+        now_, parse_request_id(line), std::string(line.text("Server")), parse_attempt(line),
+        parse_duration(line, "LatencyUs", 0)));
   } else if (name == "verdict") {
     Outcome o;
     o.id = parse_request_id(line);
@@ -215,16 +215,16 @@
     o.status = parse_name(kStatusNames, line.text("Rc"), "Rc");
     o.latency = parse_duration(line, "LatencyUs", 0);
     o.attempt = parse_attempt(line);
-    o.note = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
+    o.cache_result = static_cast<int>(in_range(line.integer("Detail", 0), 0, 1'000, "Detail"));
     o.report = parse_report(line);
     append_actions(current_instance().on_outcome(now_, o));
   } else if (name == "left") {
-    append_actions(current_instance().on_gone(now_, parse_request_id(line)));
+    append_actions(current_instance().on_client_gone(now_, parse_request_id(line)));
   } else if (name == "ring") {
     append_actions(current_instance().on_timer(
         now_, static_cast<std::uint64_t>(in_range(line.integer("Nonce"), 0, INT64_MAX, "Nonce"))));
   } else if (name == "check_result") {
-    append_actions(current_instance().on_probe(
+    append_actions(current_instance().on_probe_result(
         now_, std::string(line.text("Server")), parse_name(kStatusNames, line.text("Rc"), "Rc"),
         parse_duration(line, "LatencyUs", 0), parse_report(line)));
   } else if (name == "peer") {
--- a/src/rig/storm.cpp
+++ b/src/rig/storm.cpp
@@ -218,11 +218,11 @@
       }
       std::uint64_t commands = caches_[k]->counts().commands;
       samples.emplace_back(now, commands);
-      while (now - samples.front().first > s.tip_after) samples.pop_front();
+      while (now - samples.front().first > s.overload_time) samples.pop_front();
       double warmth = s.cold_share + (1 - s.cold_share) * static_cast<double>(age) /
                                          static_cast<double>(s.cold_time);
       double max_commands =
-          s.overload_factor * warm_rate * warmth * static_cast<double>(s.tip_after) / kSecond;
+          s.overload_factor * warm_rate * warmth * static_cast<double>(s.overload_time) / kSecond;
       if (static_cast<double>(commands - samples.front().second) > max_commands)
         overloaded_server_ = caches_[k]->id();
     }
