--- a/src/rig/cache_server.hpp
+++ b/src/rig/cache_server.hpp
@@ -47,7 +47,7 @@
   Malformed,      ///< runs the command and answers random letters
   Reset,          ///< runs the command and resets the connection
   Truncated,      ///< runs the command, sends half of the answer and closes
-  OtherKey,       ///< answers as for another request: other id (meta), key and opaque (binary)
+  OtherKey,       ///< runs the command, answers with a wrong id (meta), key and opaque (binary)
   WrongProtocol,  ///< speaks only the protocol that the client does not use
   RefusingConnections,  ///< resets new and open connections
 };
