--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -189,8 +189,8 @@
   r.write = method != "GET" && method != "HEAD" && !method.empty();
   r.type = header_value(headers, options_.class_header);
   if (r.type.empty()) r.type = r.write ? options_.write_class : options_.read_class;
-  const robinseam::ClassSettings* type = core_.class_of(r.type);
-  if (!type) return reject_invalid(stream, options_.class_header);
+  const robinseam::ClassSettings* class_settings = core_.class_of(r.type);
+  if (!class_settings) return reject_invalid(stream, options_.class_header);
   r.tenant = header_value(headers, options_.tenant_header);
   if (r.tenant.empty()) r.tenant = options_.default_tenant;
   if (r.tenant.size() > kMaxKeyBytes || !is_printable(r.tenant))
@@ -198,26 +198,26 @@
   r.idempotency = header_value(headers, options_.idempotency_header);
   if (r.idempotency.size() > kMaxIdBytes || !is_printable(r.idempotency))
     return reject_invalid(stream, options_.idempotency_header);
-  r.patience = type->deadline;
+  r.patience = class_settings->deadline;
   if (std::string text = header_value(headers, options_.deadline_header); !text.empty()) {
     auto ms = parse_non_negative(text);
     if (!ms) return reject_invalid(stream, options_.deadline_header);
     r.patience = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
   }
-  std::int64_t count = 1;
+  std::int64_t caller_attempt = 1;
   if (std::string text = header_value(headers, options_.attempt_header); !text.empty()) {
     auto number = parse_non_negative(text);
     if (!number) return reject_invalid(stream, options_.attempt_header);
-    count = *number;
+    caller_attempt = *number;
   }
-  r.repeat = count > 1;
+  r.repeat = caller_attempt > 1;
   std::string request_id = r.id;
   if (auto it = requests_.find(request_id); it != requests_.end()) {
     TrackedRequest& e = *it->second;
-    if (count <= e.caller_attempt)
+    if (caller_attempt <= e.caller_attempt)
       return reject_invalid(stream, options_.id_header);  // duplicate attempt
     ++counts_.continued;
-    e.caller_attempt = count;
+    e.caller_attempt = caller_attempt;
     streams_[stream] = request_id;
     // The caller has abandoned its previous attempt, possibly without reporting it.
     bool abandoned = e.attempt >= 0 && e.endpoint_sent;
@@ -234,7 +234,7 @@
   // A further attempt of a write that this router does not know. An earlier attempt may have run,
   // before a restart or through another router, and without an idempotency key the servers cannot
   // drop the duplicate.
-  if (count > 1 && r.write && r.idempotency.empty()) {
+  if (caller_attempt > 1 && r.write && r.idempotency.empty()) {
     ++counts_.failed;
     streams_.erase(stream);
     return send_immediate_response(stream, 503, "failed");
@@ -257,7 +257,7 @@
   e.request_id = request_id;
   e.stream = stream;
   e.awaits_decision = true;
-  e.caller_attempt = count;
+  e.caller_attempt = caller_attempt;
   streams_[stream] = request_id;
   by_id_[e.id] = &e;
   requests_[request_id] = std::move(owner);
--- a/src/extproc/processor.hpp
+++ b/src/extproc/processor.hpp
@@ -39,6 +39,7 @@
   std::size_t max_streams = 10'000;  ///< concurrent streams over all connections
 };
 
+/// Maps streams to requests of the core: several streams, one per attempt, may belong to a request.
 class Processor final : public Carrier {
  public:
   /// Sends answers to callers.
@@ -49,9 +50,15 @@
     virtual void finish(StreamId stream, grpc::Status status, const std::string& text) = 0;
   };
   struct Counts {
-    std::uint64_t streams = 0, rejected_streams = 0, invalid = 0, picked = 0, refused = 0,
-                  failed = 0;
-    std::uint64_t reported = 0, unreported = 0, other_endpoint = 0, continued = 0;
+    std::uint64_t streams = 0;
+    std::uint64_t rejected_streams = 0;  ///< over max_streams
+    std::uint64_t invalid = 0;           ///< invalid messages and headers
+    std::uint64_t picked = 0;            ///< endpoints sent
+    std::uint64_t refused = 0, failed = 0;
+    std::uint64_t reported = 0;        ///< attempts with a report of the caller
+    std::uint64_t unreported = 0;      ///< attempts whose stream ended without a report
+    std::uint64_t other_endpoint = 0;  ///< reports of another server than the chosen one
+    std::uint64_t continued = 0;       ///< further attempts of a known request
   };
 
   /// `address_of` returns the address of a server, empty if it is unknown. All references must
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -42,6 +42,7 @@
 
 }  // namespace
 
+/// One connection of a caller, with its gRPC session.
 class Server::Connection final : public grpc::ServerSession::Handler {
  public:
   Connection(Server& server, std::uint32_t number, Fd fd)
--- a/src/grpc/server_session.hpp
+++ b/src/grpc/server_session.hpp
@@ -33,6 +33,7 @@
 
 using CallId = std::int32_t;  ///< the HTTP/2 stream id
 
+/// Server side of one connection. The owner moves bytes between it and the socket.
 class ServerSession {
  public:
   /// Receives the events of a connection. Its methods are called from within recv() and the
@@ -54,7 +55,7 @@
 
   /// Limits of one connection. All are enforced; see Counts for those that are counted.
   struct Limits {
-    std::uint32_t max_streams = 1'000;           ///< concurrent calls; nghttp2 refuses further ones
+    std::uint32_t max_streams = 1'000;           ///< concurrent calls; further ones are refused
     std::uint32_t header_bytes = 16u << 10;      ///< decoded size of one call's headers
     std::size_t message_bytes = 64u << 10;       ///< size of one message
     std::uint32_t stream_window = 128u << 10;    ///< flow-control window of a call
