--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -286,14 +286,14 @@
   else if (std::string bin = header_value(headers, "endpoint-load-metrics-bin"); !bin.empty())
     result.report = parse_orca_report_bin(bin, fields_).value_or(std::vector<double>());
   auto code = parse_non_negative(header_value(headers, ":status"));
-  Status status = Status::Spoilt;
+  Status status = Status::Malformed;
   if (!served_endpoint.empty() && served_endpoint != e.address) {
     ++counts_.other_endpoint;  // the answer of another server says nothing about this attempt
     result = {};
   } else if (code && *code >= 200 && *code < 500) {
-    status = *code == 429 ? Status::Full : Status::Ok;
+    status = *code == 429 ? Status::Rejected : Status::Ok;
   } else if (code && *code >= 500 && *code < 600) {
-    status = *code == 503 && headers.count("retry-after") ? Status::Full : Status::Error;
+    status = *code == 503 && headers.count("retry-after") ? Status::Rejected : Status::Error;
   }
   ++counts_.reported;
   end_attempt(e, status, std::move(result));
@@ -322,7 +322,7 @@
   // attempt, it would take that attempt's report, and the first would time out although no server
   // was slow.
   if (e.attempt >= 0) {
-    core_.attempt_ended(id, attempt, Status::Moot, {});
+    core_.attempt_ended(id, attempt, Status::NotSent, {});
     return;
   }
   e.attempt = attempt;
@@ -338,7 +338,7 @@
   TrackedRequest& e = *it->second;
   bool endpoint_sent = std::exchange(e.endpoint_sent, false);
   e.attempt = -1;
-  return endpoint_sent ? Status::Cancelled : Status::Moot;
+  return endpoint_sent ? Status::Cancelled : Status::NotSent;
 }
 
 void Processor::send_endpoint(TrackedRequest& e) {
--- a/src/net/server_side.cpp
+++ b/src/net/server_side.cpp
@@ -114,7 +114,7 @@
                  name_of(binary ? ServerProtocol::Meta : ServerProtocol::Binary),
                  name_of(pool.protocol));
   }
-  close(c, Status::Spoilt);
+  close(c, Status::Malformed);
 }
 
 void ServerSide::apply_list(const HostList& list) {
@@ -186,7 +186,7 @@
     ServerConnection::PendingAttempt e = std::move(c.pending_.back());
     c.pending_.pop_back();
     ++counts_.withdrawn_leaving;
-    if (e.awaited) handler_.on_attempt_end(e.id, e.attempt, Status::Moot, AttemptResult());
+    if (e.awaited) handler_.on_attempt_end(e.id, e.attempt, Status::NotSent, AttemptResult());
   }
 }
 
@@ -329,7 +329,7 @@
     // that is this router's own limit and says nothing about the server.
     bool own_limit =
         usable && !it->second->connections.empty() && clock_.now() >= it->second->no_dial_until;
-    handler_.on_attempt_end(id, attempt, own_limit ? Status::Moot : Status::ConnectFailed,
+    handler_.on_attempt_end(id, attempt, own_limit ? Status::NotSent : Status::ConnectFailed,
                             AttemptResult());
     return;
   }
@@ -407,7 +407,7 @@
       if (!e.awaited || e.id != id || e.attempt != attempt) continue;
       if (k > c.written_count_ || (k == c.written_count_ && c.partial_bytes_ == 0)) {
         c.pending_.erase(c.pending_.begin() + static_cast<std::ptrdiff_t>(k));
-        return Status::Moot;
+        return Status::NotSent;
       }
       e.awaited = false;
       e.since = clock_.now();
@@ -415,7 +415,7 @@
       // Partly written: completing it would send a request that has already ended.
       if (k >= c.written_count_) {
         close(c);
-        return Status::Moot;
+        return Status::NotSent;
       }
       // Closing tells the server to drop the attempt if it is still queued there; during an
       // overload abandoned work would otherwise keep new work out. The price is a dial, so the
@@ -482,7 +482,8 @@
     ServerConnection* other = least_loaded(pool, true);
     if (!other) {
       if (e.awaited)
-        handler_.on_attempt_end(e.id, e.attempt, healthy ? Status::NoRoom : Status::ConnectFailed,
+        handler_.on_attempt_end(e.id, e.attempt,
+                                healthy ? Status::ConnectionLimit : Status::ConnectFailed,
                                 AttemptResult());
       continue;
     }
@@ -567,7 +568,7 @@
       Micros pause = c.codec_->ends_early() ? kShortValuePauseTime : kAnswerPauseTime;
       bool stalled = c.codec_->in_answer() && now - c.last_used_at_ > pause;
       if (silent || stalled)
-        ++counts_.closed_unresponsive, close(c, stalled ? Status::Spoilt : Status::Reset);
+        ++counts_.closed_unresponsive, close(c, stalled ? Status::Malformed : Status::Reset);
     }
   }
   remove_unlisted();
--- a/src/tier/scenario_runner.cpp
+++ b/src/tier/scenario_runner.cpp
@@ -59,8 +59,9 @@
 RuleParameters ScenarioRunner::rule_parameters() const {
   const robinseam::Settings& s = plan_.settings;
   RuleParameters f;
-  f.read_objective = s.classes[0].aim, f.write_objective = s.classes[1].aim;
-  f.drain_grace = s.drain_grace, f.overload_time = s.tip_after;
+  f.read_objective = s.classes[0].latency_objective,
+  f.write_objective = s.classes[1].latency_objective;
+  f.drain_grace = s.drain_grace, f.overload_time = s.overload_time;
   f.cold_share = s.cold_share, f.overload_factor = s.overload_factor;
   return f;
 }
@@ -80,8 +81,8 @@
   if (scenario_.max_tries == 1) t.try_share = 1;
   plan_.routers = scenario_.router_count;
   robinseam::Settings& settings = plan_.settings;
-  settings.must_ask = !scenario_.pushed_lists;
-  settings.ask_within = scenario_.max_poll_delay;
+  settings.poll_list = !scenario_.pushed_lists;
+  settings.max_poll_delay = scenario_.max_poll_delay;
   settings.cold_time = scenario_.cold_time;
   settings.classes[1].key_ttl = scenario_.key_ttl,
   settings.classes[1].group = scenario_.dedup_group;
--- a/tests/net/dials_test.cpp
+++ b/tests/net/dials_test.cpp
@@ -103,7 +103,7 @@
     EXPECT_EQ(fixture.ends.count(behind), 0u) << c.what;
     fixture.side.apply_list(parse_host_list(list_json(2, c.whole, c.hosts(server.address()))));
     EXPECT_EQ(fixture.ends.count(behind), 1u) << c.what;
-    EXPECT_EQ(fixture.ends[behind], Status::Moot) << c.what;
+    EXPECT_EQ(fixture.ends[behind], Status::NotSent) << c.what;
     EXPECT_EQ(fixture.ends.count(100), 0u) << c.what;  // partly written before the list came
     EXPECT_EQ(fixture.side.counts().withdrawn_leaving, 1u) << c.what;
   }
@@ -144,9 +144,9 @@
     Status status;
     std::uint64_t over_limit;
   };
-  const Case cases[] = {{"a full table", false, true, Status::NoRoom, 1},
-                        {"a full queue", false, false, Status::Full, 0},
-                        {"a drain", true, true, Status::Full, 0}};
+  const Case cases[] = {{"a full table", false, true, Status::ConnectionLimit, 1},
+                        {"a full queue", false, false, Status::Rejected, 0},
+                        {"a drain", true, true, Status::Rejected, 0}};
   for (const Case& c : cases) {
     Peer server;
     ServerSideFixture fixture(server);
@@ -186,7 +186,8 @@
     server.close();
     fixture.clock.at += silence;
     RequestId refused = fixture.send();
-    EXPECT_EQ(fixture.wait_for_end(refused), silence ? Status::ConnectFailed : Status::NoRoom);
+    EXPECT_EQ(fixture.wait_for_end(refused),
+              silence ? Status::ConnectFailed : Status::ConnectionLimit);
     EXPECT_EQ(fixture.side.counts().dials_over_connection_limit, silence ? 0u : 1u);
   }
 }
