--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -34,12 +34,12 @@
 
 Core::Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
            ListSource& list_source, std::size_t max_open, std::size_t max_ids,
-           const robinseam::limits::RuleMaker& rules)
+           const robinseam::limits::LimitFactory& rules)
     : clock_(clock),
       list_source_(list_source),
       classes_(settings.classes),
-      cache_aside_(settings.aside),
-      may_hedge_(settings.second_copies),
+      cache_aside_(settings.cache_aside),
+      may_hedge_(settings.may_hedge),
       longest_deadline_(longest_deadline_of(settings.classes)),
       balancer_(settings, seed, clock.now(), rules),
       id_seed_(mix_bits(seed)),
@@ -52,7 +52,7 @@
   Micros now = clock_.now();
   apply_actions("start", 0, now, balancer_.start(now));
   using Scope = robinseam::ListScope;
-  on_list(unverified ? Scope::Doubted : Scope::Cached, std::move(known));
+  on_list(unverified ? Scope::Unverified : Scope::Cached, std::move(known));
 }
 
 // ---- requests ----
@@ -145,7 +145,7 @@
     Attempt& a = open.attempts[k];
     if (!a.sender_owes_end || !open.sender->withdraw(a.server, id, static_cast<int>(k))) continue;
     a.sender_owes_end = a.may_have_run = false;
-    if (a.in_flight) queue_outcome(id, open, static_cast<int>(k), Status::Moot, nullptr);
+    if (a.in_flight) queue_outcome(id, open, static_cast<int>(k), Status::NotSent, nullptr);
   }
 }
 
@@ -261,11 +261,11 @@
       status = open.sender->cancel(a.server, id, static_cast<int>(k));
     }
     a.sender_owes_end = false;
-    bool unreached = status == Status::Moot && !open.sender->sent_by_caller();
+    bool unreached = status == Status::NotSent && !open.sender->sent_by_caller();
     queue_outcome(id, open, static_cast<int>(k),
-                  unreached                ? Status::ConnectFailed
-                  : status == Status::Moot ? Status::Moot
-                                           : Status::Timeout,
+                  unreached                   ? Status::ConnectFailed
+                  : status == Status::NotSent ? Status::NotSent
+                                              : Status::Timeout,
                   nullptr);
   }
   if (attempt == kRequestDeadline && !open.answered)
@@ -278,8 +278,8 @@
   Attempt& a = open.attempts[static_cast<std::size_t>(attempt)];
   a.in_flight = false;
   open.last_was_miss = status == Status::Miss;
-  if (status == Status::Full || status == Status::ConnectFailed || status == Status::Moot ||
-      status == Status::Miss || status == Status::NoRoom)
+  if (status == Status::Rejected || status == Status::ConnectFailed || status == Status::NotSent ||
+      status == Status::Miss || status == Status::ConnectionLimit)
     a.may_have_run = false;
   ++counts_.outcomes[static_cast<std::size_t>(status)];
   if (outcomes_by_server_.size() < kMaxCountedServers || outcomes_by_server_.count(a.server))
@@ -290,11 +290,11 @@
   e.outcome.status = status;
   e.outcome.latency = clock_.now() - a.sent;
   e.outcome.attempt = attempt;
-  e.outcome.held = paused;
+  e.outcome.paused = paused;
   if (result) {
     counts_.hits += result->cache_result == 1;
     counts_.misses += result->cache_result > 1;
-    e.outcome.note = result->cache_result;
+    e.outcome.cache_result = result->cache_result;
     e.outcome.report = std::move(result->report);
   }
   ++open.pending_outcomes;
@@ -353,22 +353,22 @@
       }
       robinseam::Request r;
       r.id = e->id;
-      r.type = open.request.class_name;
+      r.class_name = open.request.class_name;
       r.tenant = open.request.tenant;
       r.key = open.request.key;
       r.remaining = std::max<Micros>(0, open.deadline - now);
       r.work = open.request.work;
-      r.repeat = open.request.retry;
+      r.retry = open.request.retry;
       r.write = open.request.write;
-      r.unkeyed = open.request.write && !open.request.deduplicated;
-      if (open.request.deduplicated) r.idempotency = open.request.idempotency_key;
+      r.lacks_idempotency_key = open.request.write && !open.request.deduplicated;
+      if (open.request.deduplicated) r.idempotency_key = open.request.idempotency_key;
       set_timer(open.deadline, TimerKind::Expiry, e->id, kRequestDeadline);
       apply_actions("request", e->id, now, balancer_.on_request(now, r));
     } else if (auto* e = std::get_if<ClientGoneEvent>(&event)) {
-      apply_actions("gone", e->id, now, balancer_.on_gone(now, e->id));
+      apply_actions("gone", e->id, now, balancer_.on_client_gone(now, e->id));
       erase_if_done(e->id);
     } else if (auto* e = std::get_if<ResumedEvent>(&event)) {
-      apply_actions("again", e->id, now, balancer_.on_again(now, e->id));
+      apply_actions("again", e->id, now, balancer_.on_resume(now, e->id));
     } else if (auto* e = std::get_if<ListEvent>(&event)) {
       apply_actions("list", 0, now, balancer_.on_list(now, e->scope, e->servers));
     } else if (auto* e = std::get_if<TimerEvent>(&event)) {
@@ -394,12 +394,12 @@
   // The request may have been answered without the balancer knowing it yet.
   if (open.answered || open.half_closed || now >= open.deadline) {
     open.attempts.back().sender_owes_end = false;
-    queue_outcome(a.id, open, attempt, Status::Moot, nullptr);
+    queue_outcome(a.id, open, attempt, Status::NotSent, nullptr);
     return;
   }
   Micros timeout = open.deadline - now;
-  if (a.patience > 0 && a.patience < timeout && !open.sender->sent_by_caller()) {
-    timeout = a.patience;
+  if (a.timeout > 0 && a.timeout < timeout && !open.sender->sent_by_caller()) {
+    timeout = a.timeout;
     set_timer(now + timeout, TimerKind::Expiry, a.id, attempt);
   }
   open.sender->send(a.server, a.id, attempt, open.request, timeout);
@@ -411,7 +411,7 @@
   ++counts_.refused;
   Reply reply;
   reply.kind = Reply::Kind::Refused;
-  reply.retry_after = a.wait;
+  reply.retry_after = a.retry_after;
   give_reply(it->second, std::move(reply));
   erase_if_done(a.id);
 }
@@ -441,7 +441,7 @@
 }
 
 void Core::apply(const robinseam::Timer& a) {
-  set_timer(clock_.now() + a.after, TimerKind::Balancer, a.token);
+  set_timer(clock_.now() + a.delay, TimerKind::Balancer, a.token);
 }
 
 }  // namespace arrowfork
--- a/src/core/core.hpp
+++ b/src/core/core.hpp
@@ -34,7 +34,7 @@
   /// `timeout`: how long the router waits for the answer.
   virtual void send(const std::string& server, RequestId id, int attempt, const Request& request,
                     Micros timeout) = 0;
-  /// Abandons an attempt. Returns Moot if nothing of it was sent, Cancelled if it may have run.
+  /// Abandons an attempt. Returns NotSent if nothing of it was sent, Cancelled if it may have run.
   virtual Status cancel(const std::string& server, RequestId id, int attempt) = 0;
   /// Like cancel(), for when another attempt is to follow and two may not be in flight at once: the
   /// attempt must not continue at its server. Returns nothing, and lets the attempt continue, if
@@ -50,7 +50,7 @@
   virtual bool supports_idempotency_key(const Request& request) const = 0;
   /// True if the caller of the router sends the attempts itself and is only told the server. Such
   /// attempts have no timeout but the request's deadline, since a cancellation would not reach the
-  /// caller, and one that was never sent (Moot) does not show whether its server is reachable.
+  /// caller, and one that was never sent (NotSent) does not show whether its server is reachable.
   virtual bool sent_by_caller() const { return false; }
 
  protected:
@@ -85,7 +85,7 @@
   /// `rules`: as for the constructor of Balancer.
   Core(const robinseam::Settings& settings, std::uint64_t seed, const TimeSource& clock,
        ListSource& list_source, std::size_t max_open, std::size_t max_ids,
-       const robinseam::limits::RuleMaker& rules = {});
+       const robinseam::limits::LimitFactory& rules = {});
 
   /// Call once. `known`: the list that the router starts with; `unverified`: it has probably
   /// changed since.
@@ -131,7 +131,7 @@
   const std::vector<robinseam::ClassSettings>& classes() const { return classes_; }
   struct Counts {
     std::uint64_t requests = 0, refused = 0, failed = 0, gone = 0, hits = 0, misses = 0;
-    std::array<std::uint64_t, robinseam::kStatuses> outcomes{};  ///< by Status
+    std::array<std::uint64_t, robinseam::kStatusCount> outcomes{};  ///< by Status
     /// By class, in the order of the settings. Requests whose client is gone count in none.
     struct Replies {
       std::uint64_t served = 0, refused = 0, failed = 0;
@@ -139,7 +139,7 @@
     std::vector<Replies> replies_by_class;
   };
   const Counts& counts() const { return counts_; }
-  using Outcomes = std::array<std::uint32_t, robinseam::kStatuses>;  ///< by Status
+  using Outcomes = std::array<std::uint32_t, robinseam::kStatusCount>;  ///< by Status
   /// Outcomes of attempts by server since the last call, for at most kMaxCountedServers servers;
   /// outcomes of further servers are not counted.
   std::map<std::string, Outcomes> take_server_counts() {
@@ -209,8 +209,8 @@
   void apply(const robinseam::Refuse& a);
   void apply(const robinseam::Fail& a);
   void apply(const robinseam::Cancel& a);
-  void apply(const robinseam::Watch&) { list_source_.watch_list(); }
-  void apply(const robinseam::Fetch&) { list_source_.fetch_list(); }
+  void apply(const robinseam::WatchList&) { list_source_.watch_list(); }
+  void apply(const robinseam::FetchList&) { list_source_.fetch_list(); }
   void apply(const robinseam::Timer& a);
   void apply(const robinseam::Probe&) {
   }  // the balancer sends no probes: the router does not allow them
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -189,8 +189,8 @@
   r.write = method != "GET" && method != "HEAD" && !method.empty();
   r.class_name = header_value(headers, options_.class_header);
   if (r.class_name.empty()) r.class_name = r.write ? options_.write_class : options_.read_class;
-  const robinseam::ClassSettings* type = core_.find_class(r.class_name);
-  if (!type) return reject_invalid(stream, options_.class_header);
+  const robinseam::ClassSettings* class_settings = core_.find_class(r.class_name);
+  if (!class_settings) return reject_invalid(stream, options_.class_header);
   r.tenant = header_value(headers, options_.tenant_header);
   if (r.tenant.empty()) r.tenant = options_.default_tenant;
   if (r.tenant.size() > kMaxKeyBytes || !is_printable(r.tenant))
@@ -198,26 +198,26 @@
   r.idempotency_key = header_value(headers, options_.idempotency_header);
   if (r.idempotency_key.size() > kMaxIdBytes || !is_printable(r.idempotency_key))
     return reject_invalid(stream, options_.idempotency_header);
-  r.time_left = type->deadline;
+  r.time_left = class_settings->deadline;
   if (std::string text = header_value(headers, options_.deadline_header); !text.empty()) {
     auto ms = parse_non_negative(text);
     if (!ms) return reject_invalid(stream, options_.deadline_header);
     r.time_left = std::min<std::int64_t>(*ms, 1'000'000'000) * kMillisecond;
   }
-  std::int64_t count = 1;
+  std::int64_t caller_attempt = 1;
   if (std::string text = header_value(headers, options_.attempt_header); !text.empty()) {
     auto number = parse_non_negative(text);
     if (!number) return reject_invalid(stream, options_.attempt_header);
-    count = *number;
+    caller_attempt = *number;
   }
-  r.retry = count > 1;
+  r.retry = caller_attempt > 1;
   std::string request_id = r.id;
   if (auto it = requests_.find(request_id); it != requests_.end()) {
     TrackedRequest& e = *it->second;
-    if (count <= e.caller_attempt)
+    if (caller_attempt <= e.caller_attempt)
       return reject_invalid(stream, options_.id_header);  // duplicate attempt
     ++counts_.continued;
-    e.caller_attempt = count;
+    e.caller_attempt = caller_attempt;
     streams_[stream] = request_id;
     // The caller has abandoned its previous attempt, possibly without reporting it.
     bool abandoned = e.attempt >= 0 && e.endpoint_sent;
@@ -234,7 +234,7 @@
   // A further attempt of a write that this router does not know. An earlier attempt may have run,
   // before a restart or through another router, and without an idempotency key the servers cannot
   // drop the duplicate.
-  if (count > 1 && r.write && r.idempotency_key.empty()) {
+  if (caller_attempt > 1 && r.write && r.idempotency_key.empty()) {
     ++counts_.failed;
     streams_.erase(stream);
     return send_immediate_response(stream, 503, "failed");
@@ -257,7 +257,7 @@
   e.request_id = request_id;
   e.stream = stream;
   e.awaits_decision = true;
-  e.caller_attempt = count;
+  e.caller_attempt = caller_attempt;
   streams_[stream] = request_id;
   by_id_[e.id] = &e;
   requests_[request_id] = std::move(owner);
@@ -286,14 +286,14 @@
   else if (std::string bin = header_value(headers, "endpoint-load-metrics-bin"); !bin.empty())
     result.report = parse_orca_report_bin(bin, fields_).value_or(std::vector<double>());
   auto code = parse_non_negative(header_value(headers, ":status"));
-  Status status = Status::Spoilt;
+  Status status = Status::Malformed;
   if (!served_endpoint.empty() && served_endpoint != e.address) {
     ++counts_.other_endpoint;  // the answer of another server says nothing about this attempt
     result = {};
   } else if (code && *code >= 200 && *code < 500) {
-    status = *code == 429 ? Status::Full : Status::Ok;
+    status = *code == 429 ? Status::Rejected : Status::Ok;
   } else if (code && *code >= 500 && *code < 600) {
-    status = *code == 503 && headers.count("retry-after") ? Status::Full : Status::Error;
+    status = *code == 503 && headers.count("retry-after") ? Status::Rejected : Status::Error;
   }
   ++counts_.reported;
   end_attempt(e, status, std::move(result));
@@ -322,7 +322,7 @@
   // attempt, it would take that attempt's report, and the first would time out although no server
   // was slow.
   if (e.attempt >= 0) {
-    core_.on_attempt_ended(id, attempt, Status::Moot, {});
+    core_.on_attempt_ended(id, attempt, Status::NotSent, {});
     return;
   }
   e.attempt = attempt;
@@ -338,7 +338,7 @@
   TrackedRequest& e = *it->second;
   bool endpoint_sent = std::exchange(e.endpoint_sent, false);
   e.attempt = -1;
-  return endpoint_sent ? Status::Cancelled : Status::Moot;
+  return endpoint_sent ? Status::Cancelled : Status::NotSent;
 }
 
 void Processor::send_endpoint(TrackedRequest& e) {
--- a/src/extproc/server.cpp
+++ b/src/extproc/server.cpp
@@ -42,6 +42,7 @@
 
 }  // namespace
 
+/// One connection of a caller, with its gRPC session.
 class Server::Connection final : public grpc::ServerSession::Handler {
  public:
   Connection(Server& server, std::uint32_t number, Fd fd)
@@ -248,7 +249,7 @@
 
 Server::~Server() { connections_.clear(); }
 
-bool Server::serving() const { return !draining_ && core_.module_stats().live > 0; }
+bool Server::serving() const { return !draining_ && core_.module_stats().live_servers > 0; }
 
 void Server::on_accept(evutil_socket_t, short, void* self) {
   auto* s = static_cast<Server*>(self);
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -64,16 +64,16 @@
   return window;
 }
 
-std::unique_ptr<ConcurrencyLimit> make_limit(const RuleMaker& factory, Place place,
+std::unique_ptr<ConcurrencyLimit> make_limit(const LimitFactory& factory, LimitTarget place,
                                              const WindowParameters& window) {
   return factory ? factory(place) : std::make_unique<Window>(window);
 }
 
 }  // namespace
 
-Limits::Limits(const Settings& settings, RuleMaker factory)
+Limits::Limits(const Settings& settings, LimitFactory factory)
     : factory_(std::move(factory)),
-      fetch_limit_(make_limit(factory_, Place::Origin, fetch_window(settings.routers))),
+      fetch_limit_(make_limit(factory_, LimitTarget::Origin, fetch_window(settings.routers))),
       miss_share_{1, kInitialCachedMisses},
       overload_cap_(kTierOverloadCap / std::max(1, settings.routers)),
       retry_tokens_(kRetryCap / 2 * recovery::initial_budget_share(settings.routers)),
@@ -83,7 +83,7 @@
       max_retry_after_(settings.max_retry_after) {}
 
 std::unique_ptr<ConcurrencyLimit> Limits::make_server_limit() const {
-  return make_limit(factory_, Place::Server, kServerWindow);
+  return make_limit(factory_, LimitTarget::Server, kServerWindow);
 }
 
 double Limits::fetch_weight(const AdmissionRequest& request) const {
--- a/src/limits/limits.hpp
+++ b/src/limits/limits.hpp
@@ -27,7 +27,7 @@
 class Limits {
  public:
   /// `factory`: makes the concurrency limits; empty: windows.
-  Limits(const Settings& settings, RuleMaker factory);
+  Limits(const Settings& settings, LimitFactory factory);
   /// The concurrency limit of one server.
   std::unique_ptr<ConcurrencyLimit> make_server_limit() const;
 
@@ -92,7 +92,7 @@
   };
   void record_admission(Micros now, bool cached, bool shed);
 
-  RuleMaker factory_;
+  LimitFactory factory_;
   std::unique_ptr<ConcurrencyLimit> fetch_limit_;
   FaultAttribution attribution_;
   RetryDetector retry_detector_;
--- a/src/net/router.cpp
+++ b/src/net/router.cpp
@@ -97,7 +97,7 @@
 ListSubscription::Options subscription_options(const Config& c) {
   ListSubscription::Options o;
   o.routers = c.settings.routers;
-  o.pushed = !c.settings.must_ask;
+  o.pushed = !c.settings.poll_list;
   o.seed = c.seed;
   o.grace = c.settings.drain_grace;
   return o;
@@ -367,7 +367,7 @@
   // paused the whole tier: the poll is spread over the time that the calls of a tier need.
   r->recovery_.record_pause(now);
   robinseam::recovery::DiscoveryBackoff asking(r->config_.settings.routers,
-                                               r->config_.settings.ask_within);
+                                               r->config_.settings.max_poll_delay);
   r->discovery_.poll_within(asking.first_delay(1));
   std::fprintf(stderr, "arrowfork: the process was paused; polling discovery again\n");
 }
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -255,8 +255,8 @@
   if (std::exchange(has_answered_, true)) {
     pool_.reused_answer_at = last_used_at_;
   } else {
-    bool at_connection_limit = answer.status == Status::Full && has_closed_or_sent();
-    if (at_connection_limit) answer.status = Status::NoRoom;
+    bool at_connection_limit = answer.status == Status::Rejected && has_closed_or_sent();
+    if (at_connection_limit) answer.status = Status::ConnectionLimit;
     side_.record_dial(pool_, at_connection_limit);
   }
   if (!framing_lost && !std::exchange(pool_.proven, true))
@@ -278,7 +278,7 @@
   // The handler did not take the value: another attempt had answered before.
   if (pipe_ && pipe_.use_count() == 1) pipe_->abandon();
   if (!framing_lost) return true;
-  side_.close(*this, Status::Spoilt);
+  side_.close(*this, Status::Malformed);
   return false;
 }
 
@@ -294,7 +294,7 @@
 
 void ServerConnection::close_malformed() {
   ++side_.counts_.malformed_answers;
-  side_.close(*this, Status::Spoilt);
+  side_.close(*this, Status::Malformed);
 }
 
 bool ServerConnection::has_closed_or_sent() const {
--- a/src/rig/storm_tills.cpp
+++ b/src/rig/storm_tills.cpp
@@ -250,7 +250,7 @@
   request->router = choose_router(first.router);
   request->banner = first.banner;
   request->started_at = clock_.now();
-  request->latency_objective = type.aim;
+  request->latency_objective = type.latency_objective;
   request->deadline = type.deadline;
   request->content = std::move(first.request);
   // Unique even if two storms run at the same time.
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -248,7 +248,7 @@
 // Two attempts may not be in flight at once. While the first cannot be stopped, none may follow.
 TEST_F(CoreTest, WithoutHedgesNoAttemptFollowsOneInFlight) {
   robinseam::Settings settings = basic_settings();
-  settings.second_copies = false;
+  settings.may_hedge = false;
   make_core(settings);
   Sink sink;
   stop_result_ = std::nullopt;
@@ -308,7 +308,7 @@
   for (std::size_t k = 0; k < sent_.size(); ++k) end_attempt(k, Status::Miss);
   EXPECT_EQ(sink.replies, 1);
   EXPECT_FALSE(sink.last.cache_miss);
-  robinseam::Settings cache_aside = robinseam::test::aside_settings();
+  robinseam::Settings cache_aside = robinseam::test::cache_aside_settings();
   core_ = std::make_unique<Core>(cache_aside, 7, *this, *this, 10, 8192);
   auto servers = fleet(3);
   servers[2].kind = "ledger";
--- a/tests/extproc/processor_test.cpp
+++ b/tests/extproc/processor_test.cpp
@@ -21,7 +21,7 @@
  protected:
   ProcessorTest() {
     settings_ = robinseam::test::basic_settings();
-    settings_.second_copies = false;
+    settings_.may_hedge = false;
     settings_.max_retry_after = kSecond;
     settings_.report_fields = {robinseam::ReportField::Utilization};
     settings_.classes.push_back(settings_.classes[0]);
@@ -220,7 +220,7 @@
   StreamId s = send_request("r1");
   send_report(s, {{":status", "200"}}, "at-somewhere-else");
   EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Ok)], 0u);
-  EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Spoilt)], 1u);
+  EXPECT_EQ(core_->counts().outcomes[static_cast<int>(Status::Malformed)], 1u);
   EXPECT_EQ(processor_->counts().other_endpoint, 1u);
 }
 
@@ -301,7 +301,7 @@
 // counted against servers, 200 calls abandoned after a burst of a slow caller became 250 timeouts,
 // and a quarter of 2,000 good calls were refused.
 TEST_P(AbandonedCalls, CallsWithoutAReportDoNotCloseServersForOthers) {
-  settings_.second_copies = GetParam();
+  settings_.may_hedge = GetParam();
   start(4, 1000);
   // Fast answers first, so that a hedge would be due within a few milliseconds.
   for (int k = 0; k < 50; ++k) {
--- a/tests/net/endings_test.cpp
+++ b/tests/net/endings_test.cpp
@@ -496,7 +496,7 @@
   RequestId gone = servers.send();
   servers.side.apply_list(
       parse_host_list(list_json(2, false, {host_json("s-1", server.peer.address(), "leaving")})));
-  EXPECT_EQ(servers.wait_for_end(gone), Status::Moot);
+  EXPECT_EQ(servers.wait_for_end(gone), Status::NotSent);
   TestConnection link;
   std::thread late([&] { link = server.accept_pending_dial(); });
   servers.run_until([&] { return servers.side.connections() == 0; });
@@ -588,10 +588,10 @@
     Status status;
   };
   const Case cases[] = {
-      {"a write, pipelined", true, true, 0, Status::Spoilt},
-      {"a write, some milliseconds late", true, false, 9 * kMillisecond, Status::Spoilt},
-      {"a read, which may run twice", false, false, 0, Status::Full},
-      {"a write, long after", true, false, kSecond, Status::Full}};
+      {"a write, pipelined", true, true, 0, Status::Malformed},
+      {"a write, some milliseconds late", true, false, 9 * kMillisecond, Status::Malformed},
+      {"a read, which may run twice", false, false, 0, Status::Rejected},
+      {"a write, long after", true, false, kSecond, Status::Rejected}};
   for (const Case& c : cases) {
     Peer server;
     Servers servers(server.address());
@@ -606,7 +606,7 @@
       link.write("SERVER_ERROR busy\r\nSERVER_ERROR busy\r\n");
     } else {
       link.write("SERVER_ERROR busy\r\n");
-      EXPECT_EQ(servers.wait_for_end(first), Status::Full) << c.what;
+      EXPECT_EQ(servers.wait_for_end(first), Status::Rejected) << c.what;
       servers.clock.at += c.later;
       second = servers.send(c.write);
       servers.wait_until_written(2);
@@ -637,7 +637,7 @@
     RequestId second = servers.send();
     servers.wait_until_written(2);
     link.write(answer);
-    EXPECT_EQ(servers.wait_for_end(second), Status::Spoilt);
+    EXPECT_EQ(servers.wait_for_end(second), Status::Malformed);
   }
 }
 
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -765,9 +765,9 @@
     r.key = "key", r.id = "S" + std::to_string(++request_count), r.class_name = "read",
     r.tenant = "acme";
     std::uint64_t written = side.counts().written;
-    int unsent = ends[Status::Moot];
+    int unsent = ends[Status::NotSent];
     side.send("s-1", request_count, 0, r, kSecond);
-    while (side.counts().written == written && ends[Status::Moot] == unsent) {
+    while (side.counts().written == written && ends[Status::NotSent] == unsent) {
       side.flush();
       event_base_loop(base.get(), EVLOOP_NONBLOCK);
     }
@@ -789,7 +789,7 @@
   // One full pool is closed and redialled, the next is kept; attempts beyond it are not sent.
   EXPECT_EQ(attempts.side.counts().dials, 2 * pool);
   EXPECT_EQ(attempts.side.connections(), pool);
-  EXPECT_EQ(attempts.ends[Status::Moot], 100 - static_cast<int>(2 * pool));
+  EXPECT_EQ(attempts.ends[Status::NotSent], 100 - static_cast<int>(2 * pool));
   EXPECT_EQ(attempts.ends[Status::ConnectFailed], 0) << "would count as a failure of the server";
   // The server answers late after all: its connections are reused.
   std::vector<TestConnection> links;
