--- a/tests/extproc/decision_equivalence_test.cpp
+++ b/tests/extproc/decision_equivalence_test.cpp
@@ -32,7 +32,7 @@
   // In the middle third one server fails every attempt and another rejects half of them.
   bool degraded = number > kRequests / 3 && number < 2 * kRequests / 3;
   if (degraded && server == "s-1") return {Status::Error, delay};
-  if (degraded && server == "s-2" && h % 2) return {Status::Full, delay};
+  if (degraded && server == "s-2" && h % 2) return {Status::Rejected, delay};
   if (h % 97 == 0) return {Status::Error, delay};
   if (h % 101 == 0) return {Status::Reset, delay};
   return {Status::Ok, delay};
@@ -177,9 +177,9 @@
         pb::ProcessingRequest report;
         auto& headers = *report.mutable_response_headers();
         add_header(headers, ":status",
-                   outcome.status == Status::Ok     ? "200"
-                   : outcome.status == Status::Full ? "429"
-                                                    : "500");
+                   outcome.status == Status::Ok         ? "200"
+                   : outcome.status == Status::Rejected ? "429"
+                                                        : "500");
         processor.on_message(id, report.SerializeAsString());
         processor.on_half_close(id);
       }
@@ -198,7 +198,7 @@
 
 TEST(ExtProcDecisions, AreIdenticalToThoseOfDirectRouting) {
   robinseam::Settings settings = robinseam::test::basic_settings();
-  settings.second_copies = false;
+  settings.may_hedge = false;
   settings.max_retry_after = kSecond;
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].name = "put";
