--- a/tests/limits/retry_detector_test.cpp
+++ b/tests/limits/retry_detector_test.cpp
@@ -46,7 +46,7 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 150 * kMs;
+  read.latency_objective = 150 * kMs;
   read.deadline = 600 * kMs;
   read.worth = 1;
   s.classes = {read};
@@ -61,14 +61,14 @@
   Micros now = kS;
   auto ask = [&](const std::string& key) {
     Request r;
-    r.id = ++id, r.type = "read", r.key = key, r.remaining = 300 * kMs;
+    r.id = ++id, r.class_name = "read", r.key = key, r.remaining = 300 * kMs;
     Actions todo = b.on_request(now += 100, r);
     for (int attempt = 0; !todo.empty(); ++attempt) {
       auto* send = std::get_if<Send>(&todo.front());
       if (!send) return;
       ++sends;
-      todo =
-          b.on_outcome(now += 100, {r.id, false, send->server, Status::Full, 100, attempt, 0, {}});
+      todo = b.on_outcome(now += 100,
+                          {r.id, false, send->server, Status::Rejected, 100, attempt, 0, {}});
     }
   };
   for (int k = 0; k < 100; ++k) ask("spend" + std::to_string(k));
--- a/tests/limits/server_kind_speeds_test.cpp
+++ b/tests/limits/server_kind_speeds_test.cpp
@@ -108,7 +108,7 @@
     r.write = id % 2 == 0 && id < 200;
     std::string server = test::sent_to(b.on_request(Micros(id) * 20 * kMs, r));
     if (id >= 200) {
-      EXPECT_EQ(server, b.home(r.key)) << id;
+      EXPECT_EQ(server, b.home_server(r.key)) << id;
     }
     Outcome o = test::outcome_of(id, server, Status::Ok);
     o.latency = r.write ? 20 * kMs : 200 * kMs;
