--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -79,7 +79,7 @@
 class Echo final : public grpc::ServerSession::Handler {
  public:
   Echo(event_base* base, const TimeSource& clock, Fd fd) : fd_(std::move(fd)) {
-    limits_.streams = 100'000;
+    limits_.max_streams = 100'000;
     limits_.resets_per_s = 1'000'000;
     limits_.pings_per_s = 1'000'000;
     session_ = std::make_unique<grpc::ServerSession>(clock, *this, limits_, counts_);
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -27,14 +27,14 @@
   return Fd(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
 }
 
-void must(Fault fault) {
-  if (fault == Fault::None) return;
-  std::fprintf(stderr, "store_bench: %s\n", name_of(fault));
+void must(Error error) {
+  if (error == Error::None) return;
+  std::fprintf(stderr, "store_bench: %s\n", name_of(error));
   std::exit(1);
 }
 
 void must(bool good) {
-  if (!good) must(Fault::Io);
+  if (!good) must(Error::Io);
 }
 
 }  // namespace
@@ -81,29 +81,29 @@
   for (int group : {1, batch}) {
     std::string at = folder + "/store" + std::to_string(group);
     std::filesystem::remove_all(at);
-    Journal journal(real_folder(at), limits);
-    Journal::Opened opened;
+    Journal journal(real_file_system(at), limits);
+    Journal::Contents opened;
     must(journal.open(opened));
     Store store(limits);
     store.load(std::move(opened));
     int many = puts * group;
     double s = seconds_of([&] {
       for (int k = 0; k < many; ++k) {
-        Store::Token token = 0;
+        Store::Sequence token = 0;
         must(store.put("key" + std::to_string(k % 1000), value, 0, token));
         if (k % group != group - 1) continue;
         Store::Batch b = store.batch();
         must(journal.commit(b.records, b.first, b.last));
-        store.written(b.last);
+        store.mark_durable(b.last);
         if (journal.wants_compaction()) must(journal.compact(0));
       }
     });
     report(group == 1 ? "the store, one put a commit" : "the store, puts a commit as --batch", s,
            many);
     double again = seconds_of([&] {
-      Journal next(real_folder(at), limits);
-      Journal::Opened found;
-      must(next.look(found));
+      Journal next(real_file_system(at), limits);
+      Journal::Contents found;
+      must(next.inspect(found));
       std::printf("%42s %10zu bytes read, %zu entries\n", "", found.bytes, found.entries.size());
     });
     std::printf("%42s %10.1f ms to read them at a start\n", "", again * 1e3);
