--- a/src/membership/disabled_servers_file.cpp
+++ b/src/membership/disabled_servers_file.cpp
@@ -48,7 +48,7 @@
   Json json = Json::parse(text, nullptr, false);
   if (!json.is_object() || json.value("v", Json()) != kFormatVersion || !json.contains("out") ||
       !json["out"].is_object()) {
-    error = path_ + ": not a list of disabled servers in format version 1";
+    error = path_ + ": no list of bans of version 1";
     return std::nullopt;
   }
   DisabledServers disabled;
@@ -106,7 +106,7 @@
   bool changed = false;
   if (disable) {
     if (!disabled.count(id) && disabled.size() >= OperatorOverrides::kMaxDisabled) {
-      error = "too many disabled cache servers";
+      error = "too many cache servers out by hand";
       return std::nullopt;
     }
     changed = disabled.emplace(id, now).second;
